--- a/internal/policy/split/split.go
+++ b/internal/policy/split/split.go
@@ -1,17 +1,18 @@
-// Package split decides at a job's owner which holders of targets run which of
-// its tasks.
+// Package split decides which holders run the tasks of a job. The owner of the job makes
+// the decision.
 //
-// Load pattern: jobs of one to 1,900 tasks arrive at every entry, while the
-// free slots lie with several holders of the zone, and sometimes of other
-// zones. Without the decision a job queues at one holder while slots next door
-// stand idle, or each small job costs a message to every holder.
+// Load pattern: jobs of 1 to 1,900 tasks arrive at every entry, while the free slots are
+// spread over several holders of the zone and sometimes over other zones. Without this
+// decision, a job queues at one holder while other holders have idle slots, or each
+// small job costs a message to every holder.
 //
-// The last task decides a job's answer, so each task goes where the expected
-// start is earliest, and equal starts go where no further message is needed.
+// A job is answered when its last task ends. Each task therefore goes to the holder with
+// the earliest expected start. Among equal starts, the holder that needs no further
+// message is preferred.
 //
-// Reports of load are old when they are used. Each owner therefore counts what
-// it has sent and got back since a report; without this all jobs between two
-// reports would go to the same holder.
+// Load reports are out of date when they are used. Each owner therefore counts the tasks
+// that it has sent and got back since the last report. Without this correction, all jobs
+// between two reports would go to the same holder.
 package split
 
 import (
@@ -23,51 +24,52 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Costs are the figures that weigh one holder against another.
+// Costs holds the costs by which holders are compared.
 type Costs struct {
-	// Crossing is the round trip to another availability zone.
+	// Crossing is the round-trip time to another availability zone.
 	Crossing time.Duration
-	// Message is the round trip to another entry of the zone.
+	// Message is the round-trip time to another entry of the same zone.
 	Message time.Duration
-	// Run is the mean run time of a task while nothing was measured.
+	// Run is the mean run time assumed for a task of a pool without measurements.
 	Run time.Duration
-	// Whole is the part of a holder's slots up to which a job is kept whole; zero splits
-	// every job.
+	// Whole is the largest share of a holder's slots that a job may need and still
+	// always be kept whole. Zero splits every job.
 	Whole float64
 }
 
-// DefaultCosts follow from the stated platform: 1 to 1.5 ms one way between
-// zones, under 1 ms both ways inside one, most tasks between 50 ms and 1 s.
+// DefaultCosts returns the costs of the supported platform: 1 to 1.5 ms one way between
+// zones, a round trip under 1 ms inside a zone, and most tasks between 50 ms and 1 s.
 func DefaultCosts() Costs {
 	return Costs{Crossing: 3 * time.Millisecond, Message: time.Millisecond, Run: 300 * time.Millisecond, Whole: 0.5}
 }
 
 const (
-	// headroomShare is the part of a holder's slots that a job takes only after
-	// the other holders' first slots. Below 75% of 100 slots and more, the
-	// Erlang C formula gives a chance of waiting under one in a thousand, so
-	// using one holder alone costs no response time up to there.
+	// headroomShare is the share of a holder's slots that a job uses only after the
+	// slots of the other holders outside their headroom. With 100 slots or more and a
+	// load below 75%, the Erlang C formula gives a probability of waiting below 0.001,
+	// so using a single holder up to that load costs no response time.
 	headroomShare = 0.25
 
-	// spillFactor: work leaves the zone once the wait saved is this many
-	// crossings, and comes back below one. The gap keeps two zones of equal
-	// load from sending their work past each other.
+	// spillFactor: tasks are sent to other zones once the expected wait in this zone
+	// exceeds spillFactor crossings, and stay local again once it is at most one
+	// crossing. The gap between the two bounds keeps two equally loaded zones from
+	// sending their tasks to each other.
 	spillFactor = 4
 )
 
-// Part is the share of a job that one holder gets.
+// Part is the share of a job that one holder receives.
 type Part struct {
 	Entry job.EntryID
 	Zone  job.Zone
 	Tasks []job.BatchTask
 }
 
-// Plan is how a job is spread.
+// Plan describes how the tasks of a job are distributed.
 type Plan struct {
 	Parts []Part
 	// Wait is the expected time until the last task starts.
 	Wait time.Duration
-	// Reason is set when there is no plan: NoTarget or Infeasible.
+	// Reason is set when no plan is possible: NoTarget or Infeasible.
 	Reason job.Reason
 }
 
@@ -77,20 +79,22 @@
 }
 
 type holder struct {
-	load job.HolderLoad
-	at   time.Time
-	// sent counts tasks handed over, less those that came back, since at.
-	sent int
+	load       job.HolderLoad
+	reportedAt time.Time
+	// outstanding counts the tasks sent to the holder minus those returned since
+	// reportedAt.
+	outstanding int
 }
 
-// Splitter is the state of one owner. The caller locks.
+// Splitter holds one owner's view of the load of all holders. The caller must hold a
+// lock.
 type Splitter struct {
 	self     job.EntryID
 	zone     job.Zone
 	costs    Costs
 	rand     *rand.Rand
 	holders  map[holderKey]*holder
-	run      map[string]time.Duration
+	meanRun  map[string]time.Duration
 	spilling map[string]bool
 }
 
@@ -98,16 +102,16 @@
 func New(self job.EntryID, zone job.Zone, costs Costs, seed uint64) *Splitter {
 	return &Splitter{
 		self: self, zone: zone, costs: costs, rand: rand.New(rand.NewPCG(seed, 1)),
-		holders: map[holderKey]*holder{}, run: map[string]time.Duration{}, spilling: map[string]bool{},
+		holders: map[holderKey]*holder{}, meanRun: map[string]time.Duration{}, spilling: map[string]bool{},
 	}
 }
 
-// Report takes in what a holder says of its load.
+// Report records a holder's load report.
 func (s *Splitter) Report(now time.Time, l job.HolderLoad) {
-	s.holders[holderKey{l.Pool, l.Entry}] = &holder{load: l, at: now}
+	s.holders[holderKey{l.Pool, l.Entry}] = &holder{load: l, reportedAt: now}
 }
 
-// Forget drops what is known of an entry that left or is suspected.
+// Forget drops the load reports of an entry that left or is suspected.
 func (s *Splitter) Forget(e job.EntryID) {
 	for k := range s.holders {
 		if k.entry == e {
@@ -116,46 +120,47 @@
 	}
 }
 
-// Returned counts n tasks that a holder has answered, and the mean run time of
-// those that ran (zero when none did).
+// Returned records that a holder has answered n tasks. ran is the mean run time of those
+// that ran, zero if none did.
 func (s *Splitter) Returned(pool string, e job.EntryID, n int, ran time.Duration) {
 	if h := s.holders[holderKey{pool, e}]; h != nil {
-		h.sent -= n
+		h.outstanding -= n
 	}
 	if ran <= 0 {
 		return
 	}
-	if old, known := s.run[pool]; known {
-		ran = old + (ran-old)/runMemory
+	if old, known := s.meanRun[pool]; known {
+		ran = old + (ran-old)/runTimeSamples
 	}
-	s.run[pool] = ran
+	s.meanRun[pool] = ran
 }
 
-// runMemory is over how many answers the mean run time of a pool is averaged.
-const runMemory = 32
+// runTimeSamples is the number of answers over which the mean run time of a pool is
+// averaged.
+const runTimeSamples = 32
 
-// candidate is one holder while one job is being spread.
+// candidate is a holder considered for the job that is being split.
 type candidate struct {
 	*holder
-	free     int
-	spare    int // free slots before the headroom is touched
-	rank     float64
-	remote   bool
-	taken    int
-	perTask  time.Duration
-	wait     time.Duration
-	assigned []job.BatchTask
+	free               int
+	freeBeforeHeadroom int // free slots outside the headroom
+	rank               float64
+	remote             bool
+	taken              int
+	perTask            time.Duration
+	wait               time.Duration
+	assigned           []job.BatchTask
 }
 
-// Split spreads the tasks of one job over the holders of a pool, but for those
-// named in without.
-func (s *Splitter) Split(now time.Time, pool string, u job.Urgency, tasks []job.BatchTask, without ...job.EntryID) Plan {
-	all := slices.DeleteFunc(s.candidates(pool, u), func(c *candidate) bool { return slices.Contains(without, c.load.Entry) })
+// Split distributes the tasks of a job over the holders of a pool, except the excluded
+// ones.
+func (s *Splitter) Split(now time.Time, pool string, u job.Urgency, tasks []job.BatchTask, excluded ...job.EntryID) Plan {
+	all := slices.DeleteFunc(s.candidates(pool, u), func(c *candidate) bool { return slices.Contains(excluded, c.load.Entry) })
 	if len(all) == 0 {
 		return Plan{Reason: job.NoTarget}
 	}
-	local := localOf(all)
-	if s.mayStayLocal(pool, local, tasks) {
+	local := localCandidates(all)
+	if s.staysLocal(pool, local, tasks) {
 		all = local
 	}
 	wait := time.Duration(0)
@@ -168,32 +173,35 @@
 		c.assigned = append(c.assigned, t)
 		wait = max(wait, start)
 	}
-	if one := s.wholeAt(all, tasks, wait); one != nil {
+	if whole := s.holderForWholeJob(all, tasks, wait); whole != nil {
 		for _, c := range all {
 			c.assigned = nil
 		}
-		one.assigned = tasks
+		whole.assigned = tasks
 	}
 	return Plan{Parts: s.parts(all), Wait: wait}
 }
 
-// wholeGain is by how much sooner the last task of a job that is large beside a holder must
-// be expected to start for it to be split: some messages.
-const wholeGain = 10 * time.Millisecond
+// minSplitGain is how much earlier the last task of a job must be expected to start for
+// the job to be split, if the job is large in relation to a holder. It equals the cost
+// of several messages.
+const minSplitGain = 10 * time.Millisecond
 
-// roomyShare is the part of all slots that has to be free for a job to be split that finds
-// a place for each task at once, but not with one holder: then it is worth its messages,
-// and old news seldom has a part refused.
-const roomyShare = 0.15
+// minFreeShareToSplit is the share of all slots that must be free to split a job whose
+// tasks can all start at once, but not on one holder. With more free slots, the split is
+// worth its messages, and an outdated report seldom causes a part to be refused.
+const minFreeShareToSplit = 0.15
 
-// wholeAt returns the holder that takes the whole job; nil where it is to be split.
+// holderForWholeJob returns the holder that receives the whole job, or nil if the job is
+// to be split.
 //
-// A job is answered with its last task, and each holder decides for itself on what it is
-// given. Split over holders that are nearly full, one part starts while another is refused
-// or waits beyond its use: the caller hears late that its job may have run, and the places
-// that the first part took are lost to others. One holder takes or refuses it as a whole,
-// at once. So only a job that is large beside a holder is split, where that gains much.
-func (s *Splitter) wholeAt(cs []*candidate, tasks []job.BatchTask, split time.Duration) *candidate {
+// A job is answered when its last task ends, and each holder decides independently about
+// the part it receives. If a job is split over holders that are nearly full, one part
+// may start while another is refused or waits too long to be useful. The caller then
+// learns late that its job may have run, and the slots used by the first part are lost
+// to other jobs. A single holder accepts or refuses the whole job at once. Therefore a
+// job is split only if it is large in relation to a holder and the split gains much.
+func (s *Splitter) holderForWholeJob(cs []*candidate, tasks []job.BatchTask, splitWait time.Duration) *candidate {
 	if len(tasks) < 2 || s.costs.Whole <= 0 {
 		return nil
 	}
@@ -203,21 +211,21 @@
 		if !allFit([]*candidate{c}, tasks) {
 			continue
 		}
-		cost := c.lastStart(len(tasks)) + s.extraWhole(c, len(tasks))
+		cost := c.lastStart(len(tasks)) + s.wholeJobOverhead(c, len(tasks))
 		if best == nil || cost < bestCost {
 			best, bestCost = c, cost
 		}
 	}
-	if best != nil && len(tasks) > best.free && split == 0 && freeShare(cs) > roomyShare {
+	if best != nil && len(tasks) > best.free && splitWait == 0 && freeShare(cs) > minFreeShareToSplit {
 		return nil
 	}
-	if best == nil || float64(len(tasks)) > s.costs.Whole*float64(best.load.Slots) && bestCost > split+wholeGain {
+	if best == nil || float64(len(tasks)) > s.costs.Whole*float64(best.load.Slots) && bestCost > splitWait+minSplitGain {
 		return nil
 	}
 	return best
 }
 
-// freeShare is the part of the holders' slots that is free.
+// freeShare returns the share of the holders' slots that is free.
 func freeShare(cs []*candidate) float64 {
 	free, slots := 0, 0
 	for _, c := range cs {
@@ -227,7 +235,7 @@
 	return float64(free) / float64(max(1, slots))
 }
 
-// lastStart is when the last of n tasks is expected to start here.
+// lastStart returns the expected wait until the last of n tasks starts on this holder.
 func (c *candidate) lastStart(n int) time.Duration {
 	if n <= c.free {
 		return 0
@@ -235,10 +243,10 @@
 	return c.wait + time.Duration(n-c.free-1)*c.perTask
 }
 
-// extraWhole is what using the holder for n tasks costs besides waiting.
-func (s *Splitter) extraWhole(c *candidate, n int) time.Duration {
+// wholeJobOverhead returns the cost, besides waiting, of running n tasks on the holder.
+func (s *Splitter) wholeJobOverhead(c *candidate, n int) time.Duration {
 	var cost time.Duration
-	if n > c.spare {
+	if n > c.freeBeforeHeadroom {
 		cost += s.costs.Message
 	}
 	if c.remote {
@@ -254,7 +262,8 @@
 			out = append(out, s.candidate(h, u))
 		}
 	}
-	// The map's order is random: sort by name, then draw ranks from the seed.
+	// Map iteration order is random. Sorting by name first makes the ranks depend only
+	// on the seed.
 	sort.Slice(out, func(i, j int) bool { return out[i].load.Entry < out[j].load.Entry })
 	for _, c := range out {
 		c.rank = s.rank(c)
@@ -265,29 +274,30 @@
 
 func (s *Splitter) candidate(h *holder, u job.Urgency) *candidate {
 	c := &candidate{holder: h, remote: h.load.Zone != s.zone}
-	c.perTask = s.runOf(h.load.Pool) / time.Duration(max(1, h.load.Slots))
-	c.free = min(h.load.Slots, h.load.Free-h.sent)
-	// A holder that had free slots reported no wait; once they are used, the
-	// next slot takes one task's share of the run time to come free.
+	c.perTask = s.meanRunTime(h.load.Pool) / time.Duration(max(1, h.load.Slots))
+	c.free = min(h.load.Slots, h.load.Free-h.outstanding)
+	// A holder that had free slots reported no wait. Once they are used, the next slot
+	// becomes free after perTask on average.
 	c.wait = max(h.load.Wait[u], c.perTask)
 	if c.free < 0 {
 		c.wait += time.Duration(-c.free) * c.perTask
 		c.free = 0
 	}
-	c.spare = max(0, c.free-int(headroomShare*float64(h.load.Slots)))
+	c.freeBeforeHeadroom = max(0, c.free-int(headroomShare*float64(h.load.Slots)))
 	return c
 }
 
-func (s *Splitter) runOf(pool string) time.Duration {
-	if r, known := s.run[pool]; known {
+func (s *Splitter) meanRunTime(pool string) time.Duration {
+	if r, known := s.meanRun[pool]; known {
 		return r
 	}
 	return s.costs.Run
 }
 
-// rank orders holders of equal expected start: this entry needs no message,
-// other zones cost a crossing. Among the rest the draw is weighted by free
-// slots, so that owners with the same view don't all choose the same holder.
+// rank orders holders with the same expected start. This entry comes first because it
+// needs no message, and holders in other zones come last because they cost a crossing.
+// The others are ordered by a random draw weighted by free slots, so that owners with
+// the same view don't all choose the same holder.
 func (s *Splitter) rank(c *candidate) float64 {
 	draw := s.rand.ExpFloat64() / float64(1+c.free)
 	switch {
@@ -299,7 +309,7 @@
 	return draw
 }
 
-func localOf(all []*candidate) []*candidate {
+func localCandidates(all []*candidate) []*candidate {
 	var out []*candidate
 	for _, c := range all {
 		if !c.remote {
@@ -309,8 +319,8 @@
 	return out
 }
 
-// mayStayLocal decides whether the job stays in this zone, with hysteresis.
-func (s *Splitter) mayStayLocal(pool string, local []*candidate, tasks []job.BatchTask) bool {
+// staysLocal decides, with hysteresis, whether the job stays in this zone.
+func (s *Splitter) staysLocal(pool string, local []*candidate, tasks []job.BatchTask) bool {
 	if len(local) == 0 || !allFit(local, tasks) {
 		return false
 	}
@@ -336,25 +346,26 @@
 	return true
 }
 
-// localWait is the expected wait of the last of n tasks when the zone keeps
-// them all: what exceeds the free slots drains at all slots together.
+// localWait returns the expected wait of the last of n tasks if they all stay in the
+// zone. Tasks beyond the free slots are drained by all slots together.
 func localWait(cs []*candidate, n int) time.Duration {
-	var drain float64 // tasks a second
-	var least time.Duration = -1
+	var drain float64 // tasks per second
+	var shortest time.Duration = -1
 	for _, c := range cs {
 		n -= c.free
 		drain += 1 / max(c.perTask.Seconds(), 1e-9)
-		if least < 0 || c.wait < least {
-			least = c.wait
+		if shortest < 0 || c.wait < shortest {
+			shortest = c.wait
 		}
 	}
 	if n <= 0 {
 		return 0
 	}
-	return least + time.Duration(float64(n-1)/drain*float64(time.Second))
+	return shortest + time.Duration(float64(n-1)/drain*float64(time.Second))
 }
 
-// earliest returns the holder where one more task is expected to start first.
+// earliest returns the holder with the lowest cost for one more task and the expected
+// start there. The cost is the expected start plus the overhead.
 func (s *Splitter) earliest(cs []*candidate, size job.Size) (*candidate, time.Duration) {
 	var best *candidate
 	var bestCost, bestStart time.Duration
@@ -363,7 +374,7 @@
 			continue
 		}
 		start := c.start()
-		cost := start + s.extra(c)
+		cost := start + s.overhead(c)
 		if best == nil || cost < bestCost {
 			best, bestCost, bestStart = c, cost, start
 		}
@@ -378,10 +389,10 @@
 	return c.wait + time.Duration(c.taken-c.free)*c.perTask
 }
 
-// extra is what using the holder costs besides waiting.
-func (s *Splitter) extra(c *candidate) time.Duration {
+// overhead returns the cost, besides waiting, of running one more task on the holder.
+func (s *Splitter) overhead(c *candidate) time.Duration {
 	var cost time.Duration
-	if c.taken >= c.spare {
+	if c.taken >= c.freeBeforeHeadroom {
 		cost += s.costs.Message
 	}
 	if c.remote {
@@ -396,7 +407,7 @@
 		if len(c.assigned) == 0 {
 			continue
 		}
-		c.sent += len(c.assigned)
+		c.outstanding += len(c.assigned)
 		out = append(out, Part{Entry: c.load.Entry, Zone: c.load.Zone, Tasks: c.assigned})
 	}
 	return out
--- a/internal/policy/split/split_test.go
+++ b/internal/policy/split/split_test.go
@@ -13,10 +13,10 @@
 
 const pool = "render"
 
-var room = job.Size{Processors: 32, MemoryMB: 64000}
+var maxTaskSize = job.Size{Processors: 32, MemoryMB: 64000}
 
 func load(entry job.EntryID, zone job.Zone, slots, free int, wait time.Duration) job.HolderLoad {
-	l := job.HolderLoad{Entry: entry, Zone: zone, Pool: pool, Targets: slots / 8, Slots: slots, Free: free, Largest: room}
+	l := job.HolderLoad{Entry: entry, Zone: zone, Pool: pool, Targets: slots / 8, Slots: slots, Free: free, Largest: maxTaskSize}
 	for u := range l.Wait {
 		l.Wait[u] = wait
 	}
@@ -65,13 +65,13 @@
 	}{
 		{"idle zone: own targets, no message", []job.HolderLoad{load("e1", "z1", 80, 80, 0), load("e2", "z1", 80, 80, 0)}, 50, map[job.EntryID]int{"e1": 50}},
 		{"own targets full: one other holder", []job.HolderLoad{load("e1", "z1", 80, 0, 50*ms), load("e2", "z1", 80, 80, 0)}, 20, map[job.EntryID]int{"e2": 20}},
-		{"all free slots used before anybody queues", []job.HolderLoad{load("e1", "z1", 80, 30, 50*ms), load("e2", "z1", 80, 30, 50*ms)}, 60, map[job.EntryID]int{"e1": 30, "e2": 30}},
+		{"all free slots are used before a task queues", []job.HolderLoad{load("e1", "z1", 80, 30, 50*ms), load("e2", "z1", 80, 30, 50*ms)}, 60, map[job.EntryID]int{"e1": 30, "e2": 30}},
 		{"a small wait does not cross zones", []job.HolderLoad{load("e1", "z1", 80, 0, 10*ms), load("f1", "z2", 80, 80, 0)}, 1, map[job.EntryID]int{"e1": 1}},
 		{"a long wait crosses zones", []job.HolderLoad{load("e1", "z1", 80, 0, 200*ms), load("f1", "z2", 80, 80, 0)}, 10, map[job.EntryID]int{"f1": 10}},
-		{"the last quarter of own slots is left for later jobs", []job.HolderLoad{load("e1", "z1", 80, 30, 0), load("e2", "z1", 80, 80, 0)}, 20, map[job.EntryID]int{"e2": 20}},
-		{"a small job stays whole where it has to wait a moment", []job.HolderLoad{load("e1", "z1", 80, 3, 20*ms), load("e2", "z1", 80, 3, 25*ms)}, 6, map[job.EntryID]int{"e1": 6}},
-		{"a large job is split where one holder would make it wait", []job.HolderLoad{load("e1", "z1", 80, 40, 50*ms), load("e2", "z1", 80, 40, 50*ms)}, 80, map[job.EntryID]int{"e1": 40, "e2": 40}},
-		{"a little less wait in another zone is no reason", []job.HolderLoad{load("e1", "z1", 80, 0, 14*ms), load("f1", "z2", 80, 0, 13*ms)}, 1, map[job.EntryID]int{"e1": 1}},
+		{"the last quarter of the local slots is kept for later jobs", []job.HolderLoad{load("e1", "z1", 80, 30, 0), load("e2", "z1", 80, 80, 0)}, 20, map[job.EntryID]int{"e2": 20}},
+		{"a small job stays whole even if it has to wait briefly", []job.HolderLoad{load("e1", "z1", 80, 3, 20*ms), load("e2", "z1", 80, 3, 25*ms)}, 6, map[job.EntryID]int{"e1": 6}},
+		{"a large job is split if it would wait at one holder", []job.HolderLoad{load("e1", "z1", 80, 40, 50*ms), load("e2", "z1", 80, 40, 50*ms)}, 80, map[job.EntryID]int{"e1": 40, "e2": 40}},
+		{"a slightly shorter wait in another zone does not cross zones", []job.HolderLoad{load("e1", "z1", 80, 0, 14*ms), load("f1", "z2", 80, 0, 13*ms)}, 1, map[job.EntryID]int{"e1": 1}},
 		{"no target in the zone", []job.HolderLoad{load("f1", "z2", 80, 80, 0)}, 3, map[job.EntryID]int{"f1": 3}},
 	}
 	for _, c := range cases {
@@ -81,9 +81,9 @@
 	}
 }
 
-// Reports come a few times a second, jobs come every few milliseconds. An owner
-// that believed the last report would send every job in between to the holder
-// that was idle then, and callers would wait there beside idle slots.
+// Reports arrive a few times a second, jobs every few milliseconds. An owner that relied
+// on the last report alone would send every job until the next report to the holder that
+// was idle at the time, and callers would wait while other holders have idle slots.
 func TestOldReportsAreCorrected(t *testing.T) {
 	s := splitter(load("e1", "z1", 80, 0, 100*time.Millisecond), load("e2", "z1", 80, 80, 0), load("e3", "z1", 80, 80, 0))
 	sum := map[job.EntryID]int{}
@@ -97,9 +97,9 @@
 	qt.Assert(t, counts(s.Split(now, pool, job.UrgencyInteractive, tasks(40))), qt.DeepEquals, map[job.EntryID]int{"e3": 40})
 }
 
-// Two zones are both a little busy. Without the gap between leaving and coming
-// back, each would send its work past the other's, and every task would pay
-// for a crossing.
+// Two zones are both slightly busy. Without a gap between the bounds for sending tasks
+// to another zone and for keeping them local, each zone would send its tasks to the
+// other, and every task would pay for a crossing.
 func TestSpillHysteresis(t *testing.T) {
 	ms := time.Millisecond
 	remote := load("f1", "z2", 80, 80, 0)
@@ -120,8 +120,8 @@
 	qt.Assert(t, s.Split(now, pool, job.UrgencyInteractive, tasks(1)).Parts[0].Entry, qt.Equals, job.EntryID("e1"))
 }
 
-// A task larger than any target was declared. No holder could ever run it, so
-// the caller should hear so at once and not wait for its deadline.
+// A task declares a size larger than any target. No holder can ever run it, so the
+// caller must be refused at once instead of waiting for its deadline.
 func TestInfeasibleAndNoTarget(t *testing.T) {
 	big := tasks(2)
 	big[1].MemoryMB = 1 << 20
