--- a/internal/policy/estimate/estimate.go
+++ b/internal/policy/estimate/estimate.go
@@ -1,18 +1,18 @@
-// Package estimate learns how long the tasks of a service and kind run.
+// Package estimate learns the run times of tasks by service and kind.
 //
-// Load pattern: callers declare run times that are off by ten times and more.
-// Without measured ones a pool admits ten times too much or too little, takes
-// long tasks for short ones, and calls healthy targets slow.
+// Load pattern: callers declare run times that are wrong by a factor of ten or more.
+// Without measured run times, a pool admits ten times too much or too little, mistakes
+// long tasks for short ones, and classifies healthy targets as slow.
 //
-// What a task declares counts as much as priorWeight measured ones: it helps
-// for the first few tasks of a new kind and is outweighed after that.
+// A declared run time counts as much as priorWeight measured ones. It helps for the
+// first few tasks of a new kind and is outweighed afterwards.
 //
-// Grounds for the figures: buckets grow by 1.25, so a quantile is off by 12%
-// at most, which is less than the spread inside one kind; 64 of them reach
-// from 1 ms to 20 min. A sketch is halved when it holds 256 samples, so a kind
-// whose run time changes is followed within a few hundred tasks: under a
-// second at the rates of one pool. An HdrHistogram was not taken because it
-// doesn't forget and takes kilobytes for each kind; a sketch takes 256 bytes.
+// Reasons for the constants: buckets grow by a factor of 1.25, so a quantile is off by
+// at most 12%, which is less than the spread within one kind. 64 buckets cover 1 ms to
+// 20 min. A sketch is halved when it holds 256 samples, so that a change in the run time
+// of a kind shows within a few hundred tasks, which is under a second at the rates of
+// one pool. An HdrHistogram is not used because it never discards old samples and needs
+// kilobytes per kind, while a sketch needs 256 bytes.
 package estimate
 
 import (
@@ -21,90 +21,93 @@
 )
 
 const (
-	buckets     = 64
-	growth      = 1.25
-	shortest    = time.Millisecond
-	memory      = 256
+	bucketCount  = 64
+	bucketGrowth = 1.25
+	// minRunTime is the lower bound of the first bucket, which also counts shorter run
+	// times.
+	minRunTime  = time.Millisecond
+	maxSamples  = 256
 	priorWeight = 2
 
-	// maxKinds bounds the sketches, since callers choose the kinds. Beyond it
+	// maxKinds bounds the number of sketches, since callers choose the kinds. Beyond it,
 	// a new kind is measured as part of its service.
 	maxKinds = 4096
 )
 
-// Unknown is taken for a task of which nothing is declared or measured: the
-// middle, on a log scale, of the 50 ms to 1 s that most tasks run.
+// Unknown is the run time assumed for a task without a declared or measured one. It is
+// the middle, on a log scale, of the 50 ms to 1 s that most tasks run.
 const Unknown = 220 * time.Millisecond
 
-// Sketch is a histogram that forgets.
+// Sketch is a histogram of run times in which old samples lose weight.
 type Sketch struct {
-	counts [buckets]float32
-	n      float64
-	sum    float64 // seconds
-	seen   uint64
-	last   time.Time
-
-	// running counts started tasks that have not ended, starts sums up when
-	// they started, in nanoseconds after the sketch's first start.
-	running int
-	starts  int64
-	origin  time.Time
+	counts      [bucketCount]float32
+	weight      float64
+	sumSeconds  float64
+	samples     uint64
+	lastLearned time.Time
+
+	// running counts the started tasks that have not ended. startOffsets sums up their
+	// start times, in nanoseconds after origin. origin is set when a task starts while
+	// no other is running.
+	running      int
+	startOffsets int64
+	origin       time.Time
 }
 
-// Add takes in one run time.
+// Add records one run time.
 func (s *Sketch) Add(ran time.Duration) {
-	if s.n >= memory {
+	if s.weight >= maxSamples {
 		s.halve()
 	}
 	s.counts[bucketOf(ran)]++
-	s.n++
-	s.sum += ran.Seconds()
-	s.seen++
+	s.weight++
+	s.sumSeconds += ran.Seconds()
+	s.samples++
 }
 
 func (s *Sketch) halve() {
 	for i := range s.counts {
 		s.counts[i] /= 2
 	}
-	s.n /= 2
-	s.sum /= 2
+	s.weight /= 2
+	s.sumSeconds /= 2
 }
 
 func bucketOf(d time.Duration) int {
-	if d <= shortest {
+	if d <= minRunTime {
 		return 0
 	}
-	i := int(math.Log(float64(d)/float64(shortest)) / math.Log(growth))
-	return min(i, buckets-1)
+	i := int(math.Log(float64(d)/float64(minRunTime)) / math.Log(bucketGrowth))
+	return min(i, bucketCount-1)
 }
 
-// Samples returns how many run times were ever added.
-func (s *Sketch) Samples() uint64 { return s.seen }
+// Samples returns the number of run times recorded since the sketch was created.
+func (s *Sketch) Samples() uint64 { return s.samples }
 
-// Mean returns the mean of the remembered run times.
+// Mean returns the weighted mean of the recorded run times.
 func (s *Sketch) Mean() time.Duration {
-	if s.n == 0 {
+	if s.weight == 0 {
 		return 0
 	}
-	return time.Duration(s.sum / s.n * float64(time.Second))
+	return time.Duration(s.sumSeconds / s.weight * float64(time.Second))
 }
 
-// Quantile returns the run time that the share q of tasks doesn't exceed.
+// Quantile returns the run time that the fraction q of the tasks does not exceed.
 func (s *Sketch) Quantile(q float64) time.Duration {
-	if s.n == 0 {
+	if s.weight == 0 {
 		return 0
 	}
-	left := q * s.n
+	remaining := q * s.weight
 	for i, c := range s.counts {
-		left -= float64(c)
-		if left <= 0 && c > 0 {
-			return time.Duration(float64(shortest) * math.Pow(growth, float64(i)+0.5))
+		remaining -= float64(c)
+		if remaining <= 0 && c > 0 {
+			return time.Duration(float64(minRunTime) * math.Pow(bucketGrowth, float64(i)+0.5))
 		}
 	}
 	return s.Mean()
 }
 
-// Kind names what is measured together.
+// Kind identifies the tasks that are measured together.
 type Kind struct{ Service, Name string }
 
 // Book holds the sketches of one pool.
@@ -112,22 +115,23 @@
 	kinds    map[Kind]*Sketch
 	services map[string]*Sketch
 	all      Sketch
-	// threshold caches LongThreshold, which is asked for each job.
-	threshold time.Duration
-	stale     int
+	// threshold caches the result of LongThreshold, which is called for each job.
+	// sinceThreshold counts the tasks recorded since it was computed.
+	threshold      time.Duration
+	sinceThreshold int
 }
 
-// New returns a book in which nothing was measured.
+// New returns a Book without measurements.
 func New() *Book {
 	return &Book{kinds: map[Kind]*Sketch{}, services: map[string]*Sketch{}}
 }
 
-// Started counts a task that was started.
+// Started records the start of a task.
 func (b *Book) Started(now time.Time, k Kind) {
 	b.sketchFor(k).begin(now, now)
 }
 
-// Ended counts a started task that ended in any way.
+// Ended records the end of a started task, whatever its outcome.
 func (b *Book) Ended(k Kind, started time.Time) {
 	b.sketchFor(k).end(started)
 }
@@ -135,10 +139,10 @@
 func (s *Sketch) begin(now, started time.Time) {
 	if s.running == 0 {
 		s.origin = now
-		s.starts = 0
+		s.startOffsets = 0
 	}
 	s.running++
-	s.starts += int64(started.Sub(s.origin))
+	s.startOffsets += int64(started.Sub(s.origin))
 }
 
 func (s *Sketch) end(started time.Time) {
@@ -146,19 +150,19 @@
 		return
 	}
 	s.running--
-	s.starts -= int64(started.Sub(s.origin))
+	s.startOffsets -= int64(started.Sub(s.origin))
 }
 
-// age is for how long the running tasks have run on average.
-func (s *Sketch) age(now time.Time) time.Duration {
+// meanAge returns the mean time since the start of the running tasks.
+func (s *Sketch) meanAge(now time.Time) time.Duration {
 	if s.running == 0 {
 		return 0
 	}
-	return now.Sub(s.origin) - time.Duration(s.starts/int64(s.running))
+	return now.Sub(s.origin) - time.Duration(s.startOffsets/int64(s.running))
 }
 
-// sketchFor returns the sketch of a kind, or that of its service for kinds
-// without a name and beyond the bound.
+// sketchFor returns the sketch of a kind. Kinds without a name and new kinds beyond
+// maxKinds share the sketch of their service.
 func (b *Book) sketchFor(k Kind) *Sketch {
 	if s := b.kinds[k]; s != nil {
 		return s
@@ -176,50 +180,50 @@
 	return s
 }
 
-// Learn takes in the run time of one finished task.
+// Learn records the run time of a finished task.
 func (b *Book) Learn(now time.Time, k Kind, ran time.Duration) {
 	b.all.Add(ran)
-	b.stale++
+	b.sinceThreshold++
 	s := b.sketchFor(k)
 	s.Add(ran)
-	s.last = now
+	s.lastLearned = now
 }
 
 const (
-	// sureAfter is how many tasks must have been measured, and sureFor how
-	// lately, before a job may be refused for its run time alone. A refused
-	// kind isn't measured any more: without the second bound one wrong
-	// estimate would shut it out for ever. One job each five seconds is tried.
-	sureAfter = 5
-	sureFor   = 5 * time.Second
+	// reliableSamples is how many tasks must have been measured, and reliableFor how
+	// recently, before a job may be refused for its run time alone. A refused kind is
+	// not measured any more, so without reliableFor one wrong estimate would exclude it
+	// permanently. With it, one job every five seconds is tried.
+	reliableSamples = 5
+	reliableFor     = 5 * time.Second
 )
 
-// Sure reports whether the run time of a kind is known well enough to refuse a
-// job for it.
+// Sure reports whether the run time of a kind is reliable enough to refuse a job because
+// of it.
 func (b *Book) Sure(now time.Time, k Kind) bool {
 	s := b.sketch(k)
-	return s != nil && s.seen >= sureAfter && now.Sub(s.last) < sureFor
+	return s != nil && s.samples >= reliableSamples && now.Sub(s.lastLearned) < reliableFor
 }
 
-// Mean returns the expected run time of a task; declared is the caller's word,
-// zero when it said nothing.
+// Mean returns the expected run time of a task. declared is the run time declared by the
+// caller, zero if none.
 func (b *Book) Mean(now time.Time, k Kind, declared time.Duration) time.Duration {
 	s := b.sketch(k)
 	if s == nil {
-		return orUnknown(declared)
+		return orDefault(declared)
 	}
-	mean := s.blend(declared)
-	if s.seen < sureAfter {
-		// Tasks that have run for longer than expected and still do are the
-		// first sign that a new kind is long: their ends come too late.
-		mean = max(mean, s.age(now))
+	mean := s.withDeclared(declared)
+	if s.samples < reliableSamples {
+		// Tasks that are still running after the expected run time are the first sign
+		// that a new kind is long. Their ends come too late to be that sign.
+		mean = max(mean, s.meanAge(now))
 	}
 	return mean
 }
 
-// Blend returns the expected run time of a task of a job whose declared run time
-// says as much as the mean of its kind: both are off by tens of percent, so the
-// middle of the two, on a log scale, is off by less than either.
+// Blend returns the expected run time of a task of a job whose declared run time is as
+// reliable as the mean of its kind. Both are off by tens of percent, so their geometric
+// mean is off by less than either.
 func (b *Book) Blend(now time.Time, k Kind, declared time.Duration) time.Duration {
 	mean := b.Mean(now, k, declared)
 	if declared <= 0 || mean <= 0 {
@@ -228,31 +232,31 @@
 	return time.Duration(math.Sqrt(float64(mean) * float64(declared)))
 }
 
-func orUnknown(declared time.Duration) time.Duration {
+func orDefault(declared time.Duration) time.Duration {
 	if declared > 0 {
 		return declared
 	}
 	return Unknown
 }
 
-// blend is the measured mean with what was declared as a weak prior.
-func (s *Sketch) blend(declared time.Duration) time.Duration {
-	if s.seen == 0 {
-		return orUnknown(declared)
+// withDeclared combines the measured mean with the declared run time as a weak prior.
+func (s *Sketch) withDeclared(declared time.Duration) time.Duration {
+	if s.samples == 0 {
+		return orDefault(declared)
 	}
 	if declared <= 0 {
 		return s.Mean()
 	}
-	n := math.Min(float64(s.seen), memory)
+	n := math.Min(float64(s.samples), maxSamples)
 	mean := (s.Mean().Seconds()*n + declared.Seconds()*priorWeight) / (n + priorWeight)
 	return time.Duration(mean * float64(time.Second))
 }
 
-// Longest returns what the longest of n tasks of a kind is expected to run;
-// zero while too little was measured.
+// Longest returns the expected run time of the longest of n tasks of a kind, or zero if
+// too few tasks were measured.
 func (b *Book) Longest(k Kind, n int) time.Duration {
 	s := b.sketch(k)
-	if s == nil || s.seen < sureAfter {
+	if s == nil || s.samples < reliableSamples {
 		return 0
 	}
 	return s.Quantile(float64(n) / float64(n+1))
@@ -266,27 +270,28 @@
 }
 
 const (
-	// longFactor and longQuantile say what is long: more than four times what
-	// the shorter half of the mix runs.
+	// A task is long if it runs for more than longFactor times the longQuantile of the
+	// run times of its pool.
 	longFactor   = 4
 	longQuantile = 0.25
-	// refresh is after how many tasks the threshold is computed anew.
-	refresh = 64
+	// thresholdRefresh is the number of tasks after which the threshold is recomputed.
+	thresholdRefresh = 64
 )
 
-// LongThreshold returns the run time above which a task counts as long beside
-// the others of this pool; zero while nothing was measured.
+// LongThreshold returns the run time above which a task counts as long in this pool, or
+// zero if nothing was measured.
 func (b *Book) LongThreshold() time.Duration {
-	if b.threshold == 0 || b.stale >= refresh {
-		b.stale = 0
+	if b.threshold == 0 || b.sinceThreshold >= thresholdRefresh {
+		b.sinceThreshold = 0
 		b.threshold = time.Duration(longFactor * float64(b.all.Quantile(longQuantile)))
 	}
 	return b.threshold
 }
 
-// PoolMean returns the mean run time over all tasks of the pool.
+// PoolMean returns the mean run time over all tasks of the pool, or Unknown if nothing
+// was measured.
 func (b *Book) PoolMean() time.Duration {
-	if b.all.n == 0 {
+	if b.all.weight == 0 {
 		return Unknown
 	}
 	return b.all.Mean()
--- a/internal/policy/estimate/estimate_test.go
+++ b/internal/policy/estimate/estimate_test.go
@@ -14,14 +14,15 @@
 
 const ms = time.Millisecond
 
-// near reports whether an estimate is within a share of the truth.
+// near reports whether an estimate differs from the true value by less than a share of
+// it.
 func near(got, want time.Duration, share float64) bool {
 	d := float64(got-want) / float64(want)
 	return d < share && d > -share
 }
 
-// A caller declares ten times too much or too little. After a few tasks the
-// measured run time counts, and a lasting change is followed.
+// A caller declares a run time ten times too long or too short. After a few tasks the
+// measured run time must dominate, and the estimate must follow a lasting change.
 func TestDeclaredIsOutweighed(t *testing.T) {
 	for _, declared := range []time.Duration{30 * ms, 3 * time.Second} {
 		b := New()
@@ -41,8 +42,8 @@
 	}
 }
 
-// A new kind runs for seconds. Its first task ends only then; until that, that
-// its tasks still run is the only sign that more of them are long.
+// The tasks of a new kind run for seconds. Until the first one ends, the time that they
+// have been running is the only sign that the kind is long.
 func TestRunningTasksCountBeforeTheFirstEnds(t *testing.T) {
 	b := New()
 	for range 10 {
@@ -69,8 +70,8 @@
 	qt.Assert(t, s.Quantile(0) > 0 && s.Mean() > 0, qt.IsTrue)
 }
 
-// Callers choose the names of kinds. One that makes up a new name for each task
-// must not fill the memory; its tasks are measured as part of the service.
+// Callers choose the names of kinds. A caller that uses a new name for each task must
+// not fill the memory; its tasks are measured as part of the service.
 func TestKindsAreBounded(t *testing.T) {
 	b := New()
 	for i := range 2 * maxKinds {
