--- a/internal/policy/fairqueue/fairqueue.go
+++ b/internal/policy/fairqueue/fairqueue.go
@@ -1,22 +1,22 @@
-// Package fairqueue orders the waiting jobs of one urgency class: among teams
-// by the slots that each holds now, inside a team by what each job can bear.
+// Package fairqueue orders the waiting jobs of one urgency class: among teams by the
+// slots that each team holds, within a team by how long each job can wait.
 //
-// Load pattern: one team sends far more than the others, or thousands of tasks
-// in one job. Served in order of arrival, a quiet team's single thumbnail
-// waits behind all of them.
+// Load pattern: one team sends far more than the others, or thousands of tasks in one
+// job. Served in order of arrival, a quiet team's single thumbnail would wait behind all
+// of them.
 //
-// Among teams the next slot goes to the team that holds the fewest slots for
-// its weight. A quiet team holds none, so its job gets the very next slots,
-// and a long task counts for as long as it holds its slot, whatever it
-// declared. Start-time fair queueing, which charges an estimated cost ahead,
-// would have to be corrected after every wrong estimate and serves a quiet
-// team's ten tasks only in turn with the busy team's.
+// Among teams, the next slot goes to the team that holds the fewest slots in relation to
+// its weight. A quiet team holds none, so its job gets the very next slots. A long task
+// counts for as long as it holds its slot, whatever run time it declared. Start-time
+// fair queueing charges an estimated cost in advance: it would need a correction after
+// every wrong estimate, and would serve a quiet team's ten tasks only in turn with those
+// of the busy team.
 //
-// Inside a team a job's order is its arrival plus a multiple of the time that
-// it would take alone, or the latest start that meets its deadline if that is
-// earlier. The order is fixed at arrival, so a later job can overtake an
-// earlier one by no more than that span: nothing starves. All tasks of a job
-// share its order, so a job that was begun is finished before the next one.
+// Within a team, the order of a job is its arrival plus a multiple of its run time on an
+// idle pool, or the latest start that meets its deadline if that is earlier. The order
+// is fixed at arrival, so a later job can overtake an earlier one by no more than that
+// span and no job starves. All tasks of a job share its order, so a job that has begun
+// is finished before the next one starts.
 package fairqueue
 
 import (
@@ -25,13 +25,13 @@
 	"github.com/vanillagrade/vanillagrade/internal/policy/pq"
 )
 
-// stretchAllowance is the multiple of its own time by which a longer job lets
-// later and shorter ones pass: enough for single tasks to pass a job of thousands,
-// and no more, since the large job pays for it.
+// stretchAllowance is the multiple of its own run time for which a job lets later,
+// shorter jobs pass. It lets single tasks pass a job of thousands, and is no larger
+// because the large job pays for it.
 const stretchAllowance = 10
 
-// Order returns the rank of a job: arrived at the given time, needing own time
-// on an idle pool, with an optional deadline. Lower is served first.
+// Order returns the rank of a job that arrived at the given time and needs the time own
+// on an idle pool. The deadline is optional. Jobs with a lower rank are served first.
 func Order(arrived time.Time, own time.Duration, deadline time.Time) int64 {
 	order := arrived.Add(stretchAllowance * own)
 	if !deadline.IsZero() {
@@ -42,10 +42,10 @@
 	return order.UnixNano()
 }
 
-// Item is one waiting job.
+// Item is a waiting job.
 type Item[T any] struct {
 	Value T
-	// Order ranks the jobs of one team; equal ones go by Seq.
+	// Order ranks the jobs of one team. Jobs of equal order are ranked by Seq.
 	Order int64
 	Seq   uint64
 	node  pq.Node
@@ -55,21 +55,21 @@
 // Waiting reports whether the item is in a queue.
 func (i *Item[T]) Waiting() bool { return i.node.Queued() }
 
-// flow is one team: the jobs that wait and the slots that it holds.
+// flow holds the waiting jobs of one team and the number of slots that the team holds.
 type flow[T any] struct {
-	name   string
-	weight float64
-	held   float64
-	items  *pq.Heap[*Item[T]]
-	node   pq.Node
+	name      string
+	weight    float64
+	heldSlots float64
+	items     *pq.Heap[*Item[T]]
+	node      pq.Node
 }
 
-// Queue holds the waiting jobs of one class. The caller locks.
+// Queue holds the waiting jobs of one class. The caller must hold a lock.
 type Queue[T any] struct {
 	flows  map[string]*flow[T]
 	active *pq.Heap[*flow[T]]
-	// waiting sums up the weights of the teams in active.
-	waiting float64
+	// waitingWeight is the sum of the weights of the teams in active.
+	waitingWeight float64
 }
 
 // New returns an empty queue.
@@ -88,7 +88,7 @@
 }
 
 func flowLess[T any](a, b *flow[T]) bool {
-	x, y := a.held*b.weight, b.held*a.weight
+	x, y := a.heldSlots*b.weight, b.heldSlots*a.weight
 	if x != y {
 		return x < y
 	}
@@ -105,8 +105,8 @@
 	return f
 }
 
-// SetWeights sets the shares of all teams, one for a team that isn't named. It
-// acts on the waiting jobs at once.
+// SetWeights sets the weights of all teams. A team that is not named gets weight 1. The
+// new weights apply to waiting jobs immediately.
 func (q *Queue[T]) SetWeights(weights map[string]int) {
 	for name := range weights {
 		q.flow(name)
@@ -115,14 +115,14 @@
 		old := f.weight
 		f.weight = float64(max(1, weights[name]))
 		if f.node.Queued() {
-			q.waiting += f.weight - old
+			q.waitingWeight += f.weight - old
 		}
-		q.fix(f)
-		q.tidy(f)
+		q.reorder(f)
+		q.removeIfIdle(f)
 	}
 }
 
-func (q *Queue[T]) fix(f *flow[T]) {
+func (q *Queue[T]) reorder(f *flow[T]) {
 	if f.node.Queued() {
 		q.active.Fix(f)
 	}
@@ -135,30 +135,31 @@
 	f.items.Push(i)
 	if !f.node.Queued() {
 		q.active.Push(f)
-		q.waiting += f.weight
+		q.waitingWeight += f.weight
 		return
 	}
 	q.active.Fix(f)
 }
 
-// Remove takes a job out, wherever it stands.
+// Remove removes a job from any position of the queue. It does nothing for a job that is
+// not queued.
 func (q *Queue[T]) Remove(i *Item[T]) {
 	if !i.node.Queued() {
 		return
 	}
 	f := i.flow
-	// The flow is ranked by its first item, so it leaves before that is gone.
+	// The flow is ranked by its first item, so it must be removed before that item.
 	q.active.Remove(f)
 	f.items.Remove(i)
 	if f.items.Len() > 0 {
 		q.active.Push(f)
 		return
 	}
-	q.waiting -= f.weight
-	q.tidy(f)
+	q.waitingWeight -= f.weight
+	q.removeIfIdle(f)
 }
 
-// Head returns the job to serve next, or nil.
+// Head returns the job to serve next, or nil if the queue is empty.
 func (q *Queue[T]) Head() *Item[T] {
 	if q.active.Len() == 0 {
 		return nil
@@ -166,8 +167,8 @@
 	return q.active.Min().items.Min()
 }
 
-// Before reports whether a, the head of one queue, goes before b, the head of
-// another one whose teams hold the same slots.
+// Before reports whether a, the head of one queue, is served before b, the head of
+// another queue in which the teams hold the same slots.
 func Before[T any](a, b *Item[T]) bool {
 	if a.flow.name == b.flow.name {
 		return itemLess(a, b)
@@ -175,48 +176,48 @@
 	return flowLess(a.flow, b.flow)
 }
 
-// WithinShare reports whether the team of a waiting job may take one more slot
-// without holding more than it would if one more team waited.
+// WithinShare reports whether the team of a waiting job can take one more slot without
+// exceeding its share if one more team of weight 1 were waiting.
 func (q *Queue[T]) WithinShare(i *Item[T], slots float64) bool {
 	f := i.flow
-	return f.held+1 <= slots*f.weight/(q.waiting+1)
+	return f.heldSlots+1 <= slots*f.weight/(q.waitingWeight+1)
 }
 
-// Teams returns how many teams are known.
+// Teams returns the number of known teams.
 func (q *Queue[T]) Teams() int { return len(q.flows) }
 
-// Hold counts slots that a team has taken (positive) or given back.
+// Hold adds to the slots that a team holds. A negative number releases slots.
 func (q *Queue[T]) Hold(team string, slots float64) {
 	f := q.flow(team)
-	f.held = max(0, f.held+slots)
-	q.fix(f)
-	q.tidy(f)
+	f.heldSlots = max(0, f.heldSlots+slots)
+	q.reorder(f)
+	q.removeIfIdle(f)
 }
 
-// idleFlows is how many teams are kept without slots and jobs: twice the teams
-// of the largest site, so that those in use aren't made anew for each job.
-const idleFlows = 128
+// retainedFlows is the number of teams up to which idle teams are kept: twice the teams
+// of the largest site, so that teams in use are not recreated for each job.
+const retainedFlows = 128
 
-// tidy forgets a team without slots and jobs, so that the names that callers
-// choose where no team is configured don't pile up.
-func (q *Queue[T]) tidy(f *flow[T]) {
-	if len(q.flows) > idleFlows && f.held == 0 && f.weight == 1 && f.items.Len() == 0 {
+// removeIfIdle removes a team without slots and jobs, so that team names do not pile up
+// where no team is configured and callers choose the names.
+func (q *Queue[T]) removeIfIdle(f *flow[T]) {
+	if len(q.flows) > retainedFlows && f.heldSlots == 0 && f.weight == 1 && f.items.Len() == 0 {
 		delete(q.flows, f.name)
 	}
 }
 
-// Weight returns the weights of all waiting teams together.
-func (q *Queue[T]) Weight() float64 { return q.waiting }
+// Weight returns the sum of the weights of all waiting teams.
+func (q *Queue[T]) Weight() float64 { return q.waitingWeight }
 
-// Share returns the part of the pool that the team gets while all teams that
-// wait now go on waiting.
+// Share returns the part of the pool that the team gets as long as all teams that are
+// waiting now keep waiting.
 func (q *Queue[T]) Share(team string) float64 {
 	f := q.flows[team]
 	if f == nil {
-		return 1 / (q.waiting + 1)
+		return 1 / (q.waitingWeight + 1)
 	}
 	if f.node.Queued() {
-		return f.weight / q.waiting
+		return f.weight / q.waitingWeight
 	}
-	return f.weight / (q.waiting + f.weight)
+	return f.weight / (q.waitingWeight + f.weight)
 }
