--- a/internal/policy/assign/assign.go
+++ b/internal/policy/assign/assign.go
@@ -1,13 +1,14 @@
-// Package assign decides which entries of an availability zone hold the targets
-// of a pool.
+// Package assign decides which entries of an availability zone hold the targets of a
+// pool.
 //
-// The pattern that it answers is pools of a dozen to some hundred targets on
-// entries with a fraction of a processor each, which are restarted in turn. One
-// holder knows each free place exactly; spread over three holders a pool of 16
-// targets lost a third of its places to old news. But one holder of 117 targets
-// and 1,200 starts a second needs more processor than a small VM has. So there
-// are as few holders as carry the targets. And a target stays with its holder as
-// long as that serves: each move costs the time until the target is idle.
+// Load pattern: pools of a dozen to several hundred targets run on entries that have a
+// fraction of a processor each and are restarted in turn. A single holder knows exactly
+// which slots are free. When a pool of 16 targets was spread over three holders, a third
+// of its slots were lost because load reports were outdated. On the other hand, one
+// holder of 117 targets with 1,200 starts a second needs more processor time than a
+// small VM has. A pool therefore has as few holders as can carry its targets. A target
+// stays with its holder as long as the holder serves, because each move takes until the
+// target is idle.
 package assign
 
 import (
@@ -17,94 +18,101 @@
 )
 
 const (
-	// PerHolder is how many targets one entry holds at the most before another one takes
-	// a part: with many more, what is lost with one holder is a large part of its zone.
+	// PerHolder is the maximum number of targets that one entry holds before another
+	// entry takes a part. With many more, the loss of one holder would affect a large
+	// part of its zone.
 	PerHolder = 20
-	// targetProcessors and targetBytes are what a busy target takes of its holder: of a
-	// processor, and in bytes a second for starts, their ends and the renewal of leases.
-	targetProcessors = 0.002
-	targetBytes      = 8500
-	// processorsPart and linkPart are the parts of an entry's processor and link that
-	// holding targets may take. The rest is for callers, for bursts of starts, which come
-	// as many at once as a job has tasks, and for the hour when a neighbour is away.
-	processorsPart = 0.21
-	linkPart       = 0.33
-	// shrinkAt is the part of the room of one holder less below which the number
-	// of holders shrinks, so that it does not go to and fro.
-	shrinkAt = 0.85
-	// surplusPart and surplusLeast are by how much a holder's targets may exceed
-	// its fair part before it passes some on.
-	surplusPart  = 1.25
-	surplusLeast = 2
+	// processorsPerTarget and linkBytesPerTarget are the cost of a busy target for its
+	// holder: in processors, and in bytes per second for starts, their ends and lease
+	// renewals.
+	processorsPerTarget = 0.002
+	linkBytesPerTarget  = 8500
+	// holdingProcessorShare and holdingLinkShare are the shares of an entry's processor
+	// and link that holding targets may use. The rest is for callers, for bursts of
+	// starts (a job starts all its tasks at once), and for the load of another entry
+	// while that entry is down.
+	holdingProcessorShare = 0.21
+	holdingLinkShare      = 0.33
+	// The number of holders shrinks only if the targets fit into shrinkThreshold of the
+	// capacity of one holder fewer. This keeps the number from oscillating.
+	shrinkThreshold = 0.85
+	// A holder passes targets on only if it holds more than surplusFactor times its fair
+	// share plus surplusSlack.
+	surplusFactor = 1.25
+	surplusSlack  = 2
 )
 
-// Holder is one entry of the zone, in the order in which entries are chosen.
+// Holder is an entry of the zone. Slices of holders are in the order in which entries
+// are chosen.
 type Holder struct {
 	Entry job.EntryID
-	// Serving says that it may hold targets.
+	// Serving is set if the entry may hold targets.
 	Serving bool
-	// Reserve says that it holds targets only while no other entry can.
+	// Reserve is set if the entry holds targets only while no other entry can.
 	Reserve bool
-	// Targets is how many targets of the pool it holds.
+	// Targets is the number of targets of the pool that the entry holds.
 	Targets int
-	// Carries is how many it can hold; zero where it does not say.
+	// Carries is the number of targets that the entry can hold, zero if unknown.
 	Carries int
 }
 
-// Carries returns how many targets an entry can hold with that part of a processor and a
-// link of so many megabits a second; zero stands for one that is not known.
+// Carries returns how many targets an entry can hold with the given number of processors
+// and link bandwidth in megabits per second. Zero means unknown.
 //
-// Were the number the same on all VMs, those with a thin link would hold more than fits
-// through it: orders queue before the link, are taken for lost and sent again, and soon
-// nothing gets through in time.
+// If the number were the same on all VMs, those with a slow link would hold more targets
+// than the link can serve: start requests queue before the link, are considered lost and
+// are sent again, until hardly any request arrives in time.
 func Carries(processors, linkMbps float64) int {
 	n := float64(PerHolder)
 	if processors > 0 {
-		n = min(n, processorsPart*processors/targetProcessors)
+		n = min(n, holdingProcessorShare*processors/processorsPerTarget)
 	}
 	if linkMbps > 0 {
-		n = min(n, linkPart*linkMbps*bytesOfMegabit/targetBytes)
+		n = min(n, holdingLinkShare*linkMbps*bytesPerMegabit/linkBytesPerTarget)
 	}
 	return max(1, int(math.Round(n)))
 }
 
-const bytesOfMegabit = 1e6 / 8
+const bytesPerMegabit = 1e6 / 8
 
-// carried is how many targets each of the entries can hold: as many as the least of them,
-// so that all entries come to the same answer and none gets more than it can do.
-func carried(usable []Holder) int {
-	least := PerHolder
+// lowestCapacity returns how many targets each of the entries can hold. It is the lowest
+// capacity of them all, so that all entries compute the same result and none is
+// overloaded.
+func lowestCapacity(usable []Holder) int {
+	lowest := PerHolder
 	for _, h := range usable {
 		if h.Carries > 0 {
-			least = min(least, h.Carries)
+			lowest = min(lowest, h.Carries)
 		}
 	}
-	return least
+	return lowest
 }
 
 // Active returns the entries that hold the pool's targets, in their order.
-func Active(holders []Holder) []Holder { return active(holders, 0) }
+func Active(holders []Holder) []Holder { return activeFor(holders, 0) }
 
-// Taking returns the entries of which one is to hold one more target: those that hold
-// targets and have room, or the next one in the order, or all where nobody has room.
+// Taking returns the entries of which one is to hold one more target: the active holders
+// with free capacity, including a new one if needed, or all active holders if none has
+// free capacity.
 func Taking(holders []Holder) []Holder {
-	all := active(holders, 1)
-	each := carried(all)
-	var room []Holder
+	all := activeFor(holders, 1)
+	capacity := lowestCapacity(all)
+	var notFull []Holder
 	for _, h := range all {
-		if h.Targets < each {
-			room = append(room, h)
+		if h.Targets < capacity {
+			notFull = append(notFull, h)
 		}
 	}
-	if len(room) == 0 {
+	if len(notFull) == 0 {
 		return all
 	}
-	return room
+	return notFull
 }
 
-// active returns the entries that hold the pool's targets and some more.
-func active(holders []Holder, more int) []Holder {
-	usable := servingOf(holders)
+// activeFor returns the entries that hold the pool's targets plus the given number of
+// extra targets.
+func activeFor(holders []Holder, extra int) []Holder {
+	usable := usableHolders(holders)
 	if len(usable) == 0 {
 		return nil
 	}
@@ -115,34 +123,34 @@
 			incumbents = append(incumbents, h)
 		}
 	}
-	each := carried(usable)
-	want := min(len(usable), max(1, ceil(total+more, each)))
-	if len(incumbents) > want && float64(total) <= shrinkAt*float64(each*(len(incumbents)-1)) {
+	capacity := lowestCapacity(usable)
+	want := min(len(usable), max(1, ceilDiv(total+extra, capacity)))
+	if len(incumbents) > want && float64(total) <= shrinkThreshold*float64(capacity*(len(incumbents)-1)) {
 		return largest(incumbents, want)
 	}
-	return fill(incumbents, usable, want)
+	return addIdle(incumbents, usable, want)
 }
 
-// servingOf returns the entries that may hold targets: the reserve only where
-// there is nobody else.
-func servingOf(holders []Holder) []Holder {
-	var first, reserve []Holder
+// usableHolders returns the entries that may hold targets. Reserve entries are returned
+// only if there are no others.
+func usableHolders(holders []Holder) []Holder {
+	var regular, reserve []Holder
 	for _, h := range holders {
 		switch {
 		case !h.Serving:
 		case h.Reserve:
 			reserve = append(reserve, h)
 		default:
-			first = append(first, h)
+			regular = append(regular, h)
 		}
 	}
-	if len(first) == 0 {
+	if len(regular) == 0 {
 		return reserve
 	}
-	return first
+	return regular
 }
 
-func ceil(n, part int) int { return int(math.Ceil(float64(n) / float64(part))) }
+func ceilDiv(n, divisor int) int { return int(math.Ceil(float64(n) / float64(divisor))) }
 
 // largest returns the n holders with the most targets, in their order.
 func largest(holders []Holder, n int) []Holder {
@@ -161,8 +169,8 @@
 	return out
 }
 
-// fill adds entries without targets to the incumbents until there are n.
-func fill(incumbents, usable []Holder, n int) []Holder {
+// addIdle adds entries without targets to the incumbents until there are n.
+func addIdle(incumbents, usable []Holder, n int) []Holder {
 	var out []Holder
 	missing := n - len(incumbents)
 	for _, h := range usable {
@@ -177,14 +185,15 @@
 	return out
 }
 
-// Move is how many targets one holder passes on to another.
+// Move is a number of targets that one holder passes on to another.
 type Move struct {
 	To      job.EntryID
 	Targets int
 }
 
-// Surplus says what the entry self passes on: all of its targets if it is not
-// among the active holders, else what exceeds its fair part.
+// Surplus returns the moves by which the entry self passes on targets: all of them if it
+// is not among the active holders, otherwise those beyond its fair share. mine is the
+// number of targets that self holds.
 func Surplus(active []Holder, self job.EntryID, mine int) []Move {
 	total, isActive := 0, false
 	var others []Holder
@@ -205,17 +214,17 @@
 	fair := float64(total) / float64(len(active))
 	spare := mine
 	if isActive {
-		if float64(mine) <= surplusPart*fair+surplusLeast {
+		if float64(mine) <= surplusFactor*fair+surplusSlack {
 			return nil
 		}
 		spare = mine - int(math.Ceil(fair))
 	}
-	return share(others, spare, fair)
+	return spreadTargets(others, spare, fair)
 }
 
-// share spreads targets over holders that have less than their fair part; what is
-// left goes to the first.
-func share(others []Holder, spare int, fair float64) []Move {
+// spreadTargets distributes targets over the holders that have less than their fair
+// share. If none has, all targets go to the first holder.
+func spreadTargets(others []Holder, spare int, fair float64) []Move {
 	var moves []Move
 	for _, h := range others {
 		n := min(spare, max(0, int(math.Ceil(fair))-h.Targets))
--- a/internal/policy/assign/assign_test.go
+++ b/internal/policy/assign/assign_test.go
@@ -24,9 +24,9 @@
 	return s
 }
 
-// Pools of a dozen to some hundred targets start, grow and shrink on entries that
-// come and go. Too many holders lose places to old news, too few are slow; and a
-// target that moves for nothing stands idle meanwhile.
+// Pools of a dozen to several hundred targets start, grow and shrink on entries that
+// come and go. Too many holders lose slots to outdated reports, too few are slow, and a
+// target that moves needlessly is idle meanwhile.
 func TestActive(t *testing.T) {
 	down := holders(16, 0, 0)
 	down[0].Serving = false
@@ -38,14 +38,14 @@
 		holders []Holder
 		want    string
 	}{
-		{"an empty pool has the first entry", holders(0, 0, 0), "a"},
-		{"a small pool stays with one, also if it is not the first", holders(0, 16, 0), "b"},
-		{"more targets than one carries take another", holders(PerHolder+8, 0, 0), "ab"},
-		{"a holder that is down passes its pool on", down, "b"},
-		{"two halves that met again come together", holders(10, 6, 0), "a"},
-		{"the number does not go to and fro at its bound", holders(20, 13, 0), "ab"},
-		{"the reserve holds nothing while others can", reserve, "b"},
-		{"and all when it is alone", alone, "r"},
+		{"an empty pool is assigned to the first entry", holders(0, 0, 0), "a"},
+		{"a small pool stays with its holder even if it is not the first", holders(0, 16, 0), "b"},
+		{"more targets than one holder can carry need a second one", holders(PerHolder+8, 0, 0), "ab"},
+		{"the pool of a holder that is down goes to the next entry", down, "b"},
+		{"two halves of a pool are merged after a partition", holders(10, 6, 0), "a"},
+		{"the number of holders does not oscillate at its bound", holders(20, 13, 0), "ab"},
+		{"a reserve entry holds nothing while others can", reserve, "b"},
+		{"a reserve entry that is alone holds all targets", alone, "r"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { qt.Assert(t, names(Active(c.holders)), qt.Equals, c.want) })
@@ -53,8 +53,8 @@
 	qt.Assert(t, Active(nil), qt.IsNil)
 }
 
-// A holder ends, or holds more than its part. What it gives away must find an
-// entry, and a fair spread must be left alone.
+// A holder stops or holds more than its share. The targets that it passes on must find
+// another entry, and a fair distribution must not change.
 func TestSurplus(t *testing.T) {
 	qt.Assert(t, Surplus(holders(20, 20), "a", 20), qt.IsNil)
 	qt.Assert(t, Surplus(holders(24, 18), "a", 24), qt.IsNil)
--- a/internal/policy/assign/held.go
+++ b/internal/policy/assign/held.go
@@ -6,49 +6,50 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Load pattern: all targets of an availability zone announce themselves within a second,
-// after a power failure or at the first start, and holders say a few times a second how
-// many they hold. By that word alone each holder seems empty while dozens are on their way
-// to it: the first in the order gets far more than it can carry, has no processor left to
-// take them over, and passes half of them on again. Its zone's callers are refused
-// meanwhile. So what this entry has sent since the word was given counts as well.
-
-// Reported is a holder's word on how many targets of a pool it holds.
+// Load pattern: after a power loss or at the first start, all targets of an availability
+// zone announce themselves within a second, while holders report a few times a second how
+// many targets they hold. By the reports alone, each holder seems empty while dozens of
+// targets are in transit to it. The first holder in the order would get far more than it
+// can carry, would have no processor time left to take them over, and would pass half of
+// them on again. Callers of its zone would be refused meanwhile. Targets that this entry
+// has sent since the last report therefore count as well.
+
+// Reported is the number of targets of a pool that a holder reported.
 type Reported struct {
 	Entry   job.EntryID
 	Targets int
 	At      time.Time
 }
 
-// Passed is a target that this entry has sent to its holder.
+// Passed is a target that this entry has sent to a holder.
 type Passed struct {
 	Holder job.EntryID
 	At     time.Time
 }
 
-// recentFor is for how long a target that was sent counts where its holder says nothing:
-// some of its reports.
-const recentFor = time.Second
+// inTransitFor is how long a sent target counts if its holder sends no report. It covers
+// several report intervals.
+const inTransitFor = time.Second
 
-// Held returns how many targets each entry holds, with those that are on their way.
+// Held returns how many targets each entry holds, including targets in transit.
 func Held(now time.Time, reported []Reported, passed []Passed) map[job.EntryID]int {
-	held, at := map[job.EntryID]int{}, map[job.EntryID]time.Time{}
+	held, reportedAt := map[job.EntryID]int{}, map[job.EntryID]time.Time{}
 	for _, r := range reported {
-		held[r.Entry], at[r.Entry] = r.Targets, r.At
+		held[r.Entry], reportedAt[r.Entry] = r.Targets, r.At
 	}
 	for _, p := range passed {
-		if now.Sub(p.At) < recentFor && p.At.After(at[p.Holder]) {
+		if now.Sub(p.At) < inTransitFor && p.At.After(reportedAt[p.Holder]) {
 			held[p.Holder]++
 		}
 	}
 	return held
 }
 
-// Prune drops what counts no longer.
+// Prune drops the sent targets that no longer count as in transit.
 func Prune(now time.Time, passed []Passed) []Passed {
 	kept := passed[:0]
 	for _, p := range passed {
-		if now.Sub(p.At) < recentFor {
+		if now.Sub(p.At) < inTransitFor {
 			kept = append(kept, p)
 		}
 	}
--- a/internal/policy/assign/held_test.go
+++ b/internal/policy/assign/held_test.go
@@ -10,10 +10,11 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// All 117 targets of a zone announce themselves within a second through one entry, after
-// the power was out. Holders report four times a second. None may get many more than it can
-// carry: it would be out of processor time, and the zone's callers would be refused.
-func TestAStormOfAnnouncementsIsSpread(t *testing.T) {
+// After a power loss, all 117 targets of a zone announce themselves within a second
+// through one entry. Holders report four times a second. No holder may get many more
+// targets than it can carry: it would run out of processor time, and callers of the zone
+// would be refused.
+func TestBurstOfAnnouncementsIsSpread(t *testing.T) {
 	epoch := time.Unix(0, 0)
 	entries := make([]Holder, 15)
 	for i := range entries {
@@ -53,7 +54,7 @@
 	qt.Assert(t, spread(false) > 30, qt.IsTrue, qt.Commentf("%d", spread(false)))
 }
 
-func TestHeldCountsWhatIsOnItsWay(t *testing.T) {
+func TestHeldCountsTargetsInTransit(t *testing.T) {
 	now := time.Unix(10, 0)
 	ago := func(ms int) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
 	held := Held(now,
@@ -62,18 +63,18 @@
 	qt.Assert(t, held, qt.DeepEquals, map[job.EntryID]int{"a": 4, "b": 1})
 }
 
-// A holder that has got all it can carry names the next one in place of taking more, and
-// nobody is left without a holder where all have got that.
-func TestTakingLeavesOutWhoIsFull(t *testing.T) {
+// A full holder is left out in favour of the next one. If all holders are full, targets
+// must still get a holder.
+func TestTakingLeavesOutFullHolders(t *testing.T) {
 	qt.Assert(t, names(Taking(holders(20, 0, 0))), qt.Equals, "b")
 	qt.Assert(t, names(Taking(holders(20, 7, 0))), qt.Equals, "b")
 	qt.Assert(t, names(Taking(holders(3, 0, 0))), qt.Equals, "a")
 	qt.Assert(t, names(Taking(holders(20, 20, 20))), qt.Equals, "abc")
 }
 
-// VMs with a thin link or little processor hold fewer targets each, so that more of them
-// hold some. Given as many as others, orders would queue before the link until they are
-// taken for lost.
+// VMs with a slow link or little processor hold fewer targets each, so more VMs hold
+// some. With as many targets as others, start requests would queue before the link until
+// they are considered lost.
 func TestCarriesFollowsTheVM(t *testing.T) {
 	qt.Assert(t, Carries(0, 0), qt.Equals, PerHolder)
 	qt.Assert(t, Carries(0.4, 1000), qt.Equals, PerHolder)
