--- a/internal/policy/admission/admission.go
+++ b/internal/policy/admission/admission.go
@@ -1,14 +1,13 @@
-// Package admission decides whether a job is taken into the queue or refused
-// at once.
+// Package admission decides whether a job is queued or refused at once.
 //
-// Load pattern: more work arrives than the targets can do, for seconds or for
-// hours. Without it the queue grows until every answer is late: the targets
-// are busy all the time and no caller gets anything in time, and after the
-// overload the pool still works off what nobody waits for.
+// Load pattern: more work arrives than the targets can do, for seconds or for hours.
+// Without admission control, the queue grows until every answer is late: the targets are
+// always busy, no caller gets a result in time, and after the overload the pool still
+// works off jobs that no caller waits for.
 //
-// A job is taken when its expected wait is within what it can bear: its
-// deadline, or a bound for its urgency class. A team that holds less than its
-// share waits only behind its own work, so one team's flood refuses that team.
+// A job is admitted if its expected wait is within its limit: its deadline, or a bound
+// for its urgency class. A team that holds less than its share waits only behind its own
+// work, so a flood of jobs from one team causes refusals only for that team.
 package admission
 
 import (
@@ -17,18 +16,19 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// The longest expected wait of a job without a deadline. An urgent or
-// interactive caller watches a screen and by then would rather hear no; half a
-// second is the longest run time of most interactive tasks halved, so it keeps
-// their stretch under about two. Batch work is bounded by the queue's length
-// before that: half a minute is 40,000 tasks of 300 ms on 400 slots.
+// These are the longest expected waits for jobs without a deadline. An urgent or
+// interactive caller is a person at a screen who by then prefers a refusal. Half a second
+// is half the longest run time of most interactive tasks, so it keeps their stretch under
+// about two. Batch work is bounded by the queue length before the wait reaches its bound:
+// half a minute is 40,000 tasks of 300 ms on 400 slots.
 const (
 	urgentWait      = 250 * time.Millisecond
 	interactiveWait = 500 * time.Millisecond
 	batchWait       = 30 * time.Second
 )
 
-// Bound returns the longest expected wait of a class.
+// Bound returns the longest expected wait with which a job of the class is admitted, if
+// it has no deadline.
 func Bound(u job.Urgency) time.Duration {
 	switch u {
 	case job.UrgencyUrgent:
@@ -39,37 +39,37 @@
 	return batchWait
 }
 
-// Backlog is what stands before a job. Work is in seconds of one slot.
+// Backlog is the work queued ahead of a job. Work is measured in seconds of one slot.
 type Backlog struct {
 	Slots int
 	Free  int
-	// Higher is the queued work of more urgent classes, Class that of its own
-	// class, Team its own team's part of that.
+	// Higher is the queued work of more urgent classes, Class the queued work of the
+	// job's own class, and Team the part of Class that belongs to the job's team.
 	Higher, Class, Team float64
-	// Share is the team's part of the slots while all waiting teams wait on.
+	// Share is the team's part of the slots as long as all waiting teams keep waiting.
 	Share float64
-	// Least is how many slots the class gets in any case once a job of it has
-	// waited for LeastAfter, whatever more urgent work there is.
+	// Least is the number of slots that the class gets, whatever more urgent work is
+	// queued, once one of its jobs has waited for LeastAfter.
 	Least      float64
 	LeastAfter time.Duration
-	// Standing is for how long the class has had waiting tasks without a break,
-	// zero for a team of which hardly any wait.
+	// Standing is how long the class has had waiting tasks without interruption. It is
+	// zero for a team with hardly any waiting tasks.
 	Standing time.Duration
 }
 
-// Request is the job as far as admission goes.
+// Request describes the properties of a job that matter for admission.
 type Request struct {
 	Urgency job.Urgency
 	Tasks   int
 	// Work is the run time of all tasks together, in seconds of one slot.
 	Work float64
-	// Longest is what the longest task takes, zero while nothing is known.
+	// Longest is the run time of the longest task, zero if unknown.
 	Longest time.Duration
-	// Remaining is the time to the deadline; zero means none that binds.
+	// Remaining is the time until the deadline, zero if no deadline applies.
 	Remaining time.Duration
 }
 
-// Verdict is the decision with the expectations that it rests on.
+// Verdict is the admission decision and the expected times on which it is based.
 type Verdict struct {
 	Admit      bool
 	Reason     job.Reason
@@ -78,8 +78,8 @@
 	RetryAfter time.Duration
 }
 
-// Expect returns the expected wait of the first task and the expected end of
-// the last one.
+// Expect returns the expected wait until the first task starts and until the last one
+// ends.
 func Expect(b Backlog, r Request) (wait, finish time.Duration) {
 	slots := float64(max(1, b.Slots))
 	if b.Free >= r.Tasks && b.Higher+b.Class == 0 {
@@ -97,15 +97,16 @@
 	return min(wait, aged), min(finish, agedFinish)
 }
 
-// Decide says whether the job is taken.
+// Decide decides whether the job is admitted.
 func Decide(b Backlog, r Request) Verdict {
 	wait, finish := Expect(b, r)
 	v := Verdict{Wait: wait, Finish: finish}
 	if r.Remaining > 0 {
-		return withDeadline(v, b, r)
+		return decideWithDeadline(v, b, r)
 	}
-	// A job that runs for a second and more can wait for as long as it runs.
-	bound := Bound(r.Urgency)/time.Duration(tightening(b, r)) + finish - wait
+	// A job that runs longer can wait longer: the expected time from the start of its
+	// first task to the end of its last one is added to the bound.
+	bound := Bound(r.Urgency)/time.Duration(boundDivisor(b, r)) + finish - wait
 	if wait <= bound {
 		v.Admit = true
 		return v
@@ -115,54 +116,54 @@
 	return v
 }
 
-// waitDoubt is by how much a wait may turn out longer than expected: more
-// urgent work arrives after the job, and estimates are off. Under a long
-// overload the queue settles where the last admitted job just fits. Were the
-// wait taken at its word, every answer would come right at its deadline, and
-// an error of a tenth would make nearly all of them late.
-const waitDoubt = 4
-
-// A queue that comes from a burst is worth its wait: it empties soon. One that
-// stands for seconds only makes everybody wait, since as much is refused with a
-// short queue as with a long one. So after standingFrom the bound shrinks, until
-// it is an eighth at eight times that. It holds for teams that have a queue
-// of their own; the others have not made it.
+// waitSafetyFactor is the factor by which a wait may turn out longer than expected,
+// because more urgent work arrives after the job and because estimates are inexact.
+// During a long overload, the queue settles at the length at which the last admitted job
+// just fits. If the expected wait were used without this factor, every answer would
+// arrive right at its deadline, and an error of 10% would make nearly all of them late.
+const waitSafetyFactor = 4
+
+// A queue caused by a burst is useful, since it empties soon. A queue that persists for
+// seconds only makes all callers wait, since a short queue causes just as many refusals.
+// After standingThreshold the bound therefore shrinks, down to an eighth at eight times
+// standingThreshold. The shrunk bound applies only to teams that have queued work, since
+// the other teams did not cause the queue.
 const (
-	standingFrom  = 500 * time.Millisecond
-	maxTightening = 8
+	standingThreshold = 500 * time.Millisecond
+	maxBoundDivisor   = 8
 )
 
-// tightening is by how much the bound shrinks. Nobody sits waiting for batch
-// work, so there a standing queue is as good as any.
-func tightening(b Backlog, r Request) int {
+// boundDivisor returns the divisor of the bound. It is 1 for batch work: no caller waits
+// interactively for it, so a standing queue does no harm.
+func boundDivisor(b Backlog, r Request) int {
 	if r.Urgency == job.UrgencyBatch {
 		return 1
 	}
-	return int(min(maxTightening, max(1, b.Standing/standingFrom)))
+	return int(min(maxBoundDivisor, max(1, b.Standing/standingThreshold)))
 }
 
-func withDeadline(v Verdict, b Backlog, r Request) Verdict {
-	alone := v.Finish - v.Wait
-	doubt := time.Duration(waitDoubt * tightening(b, r))
-	if alone+doubt*v.Wait <= r.Remaining {
+func decideWithDeadline(v Verdict, b Backlog, r Request) Verdict {
+	runTime := v.Finish - v.Wait
+	factor := time.Duration(waitSafetyFactor * boundDivisor(b, r))
+	if runTime+factor*v.Wait <= r.Remaining {
 		v.Admit = true
 		return v
 	}
-	if alone > r.Remaining {
+	if runTime > r.Remaining {
 		v.Reason = job.DeadlineTooNear
 		return v
 	}
 	v.Reason = job.Overloaded
-	v.RetryAfter = retryAfter(v.Wait - (r.Remaining-alone)/doubt)
+	v.RetryAfter = retryAfter(v.Wait - (r.Remaining-runTime)/factor)
 	return v
 }
 
-// leastRetry keeps a refused caller from coming back before anything changed:
-// the middle run time of a task.
-const leastRetry = 100 * time.Millisecond
+// minRetryAfter keeps a refused caller from retrying before the load has changed. It is
+// the median run time of a task.
+const minRetryAfter = 100 * time.Millisecond
 
-// retryAfter is the time that the excess takes to drain. The backlog is work
-// over slots, so its drain is one second a second by construction.
-func retryAfter(excess time.Duration) time.Duration { return max(leastRetry, excess) }
+// retryAfter returns the time in which the excess wait drains. Since the backlog is work
+// divided by slots, it drains by one second per second.
+func retryAfter(excess time.Duration) time.Duration { return max(minRetryAfter, excess) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -22,15 +22,15 @@
 		reason  job.Reason
 	}{
 		{"idle pool", Backlog{Slots: 400, Free: 400, Share: 1}, within(400 * ms), true, ""},
-		{"too near on an idle pool", Backlog{Slots: 400, Free: 400, Share: 1}, within(200 * ms), false, job.DeadlineTooNear},
+		{"deadline too near on an idle pool", Backlog{Slots: 400, Free: 400, Share: 1}, within(200 * ms), false, job.DeadlineTooNear},
 		{"the wait leaves most of the slack", Backlog{Slots: 400, Class: 60, Team: 60, Share: 1}, within(time.Second), true, ""},
 		{"the wait would use all the slack", Backlog{Slots: 400, Class: 240, Team: 240, Share: 1}, within(time.Second), false, job.Overloaded},
-		{"a queue that stands may be an eighth as long", Backlog{Slots: 400, Class: 60, Team: 60, Share: 1, Standing: 10 * time.Second}, within(time.Second), false, job.Overloaded},
-		{"the same, shorter", Backlog{Slots: 400, Class: 7, Team: 7, Share: 1, Standing: 10 * time.Second}, within(time.Second), true, ""},
-		{"standing, without a deadline", Backlog{Slots: 400, Class: 180, Team: 180, Share: 1, Standing: 10 * time.Second}, one, false, job.Overloaded},
+		{"a standing queue may be an eighth as long", Backlog{Slots: 400, Class: 60, Team: 60, Share: 1, Standing: 10 * time.Second}, within(time.Second), false, job.Overloaded},
+		{"a shorter standing queue", Backlog{Slots: 400, Class: 7, Team: 7, Share: 1, Standing: 10 * time.Second}, within(time.Second), true, ""},
+		{"a standing queue, without a deadline", Backlog{Slots: 400, Class: 180, Team: 180, Share: 1, Standing: 10 * time.Second}, one, false, job.Overloaded},
 		{"long wait without a deadline", Backlog{Slots: 400, Class: 400, Team: 400, Share: 1}, one, false, job.Overloaded},
 		{"only other teams wait", Backlog{Slots: 400, Class: 4000, Team: 0, Share: 0.5}, one, true, ""},
-		{"own work waits for a small share", Backlog{Slots: 400, Class: 4000, Team: 100, Share: 0.1}, one, false, job.Overloaded},
+		{"own work of a team with a small share", Backlog{Slots: 400, Class: 4000, Team: 100, Share: 0.1}, one, false, job.Overloaded},
 		{"more urgent work goes first", Backlog{Slots: 400, Higher: 400, Share: 1}, one, false, job.Overloaded},
 		{"no slot but the class's own share", Backlog{Slots: 0, Higher: 400, Share: 1, Least: 25, LeastAfter: 500 * ms}, one, true, ""},
 	}
@@ -44,9 +44,9 @@
 	}
 }
 
-// A refused caller is told when to come back. Were the time too short it would
-// be refused again; the backlog drains by one second a second, so after the
-// told time the same job is taken.
+// A refusal reports when the caller can retry. If that time were too short, the caller
+// would be refused again. The backlog drains by one second per second, so the same job
+// must be admitted after the reported time.
 func TestRetryAfterIsLongEnough(t *testing.T) {
 	for _, remaining := range []time.Duration{0, time.Second} {
 		b := Backlog{Slots: 400, Class: 900, Team: 900, Share: 1}
