--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -19,10 +19,9 @@
 	return q
 }
 
-// A studio's script sends without pause. Its own jobs beyond the agreed rate
-// are refused, and the time told to it is the time after which the job passes:
-// were it too short, the script would come back in vain; were it too long, its
-// quota would go unused.
+// A studio's script sends without a break. Its jobs beyond the agreed rate must be
+// refused with the exact time after which the job is admitted. If that time were too
+// short, the script would retry in vain; if it were too long, the quota would go unused.
 func TestRetryAfterIsExact(t *testing.T) {
 	q := quotas(config.Team{Name: "hot", TasksPerSecond: 100})
 	qt.Assert(t, q.Admit(start, "hot", 100).Allowed, qt.IsTrue)
@@ -34,10 +33,10 @@
 	qt.Assert(t, q.Admit(start.Add(v.RetryAfter), "hot", 30).Allowed, qt.IsTrue)
 }
 
-// A job of 1,900 tasks belongs to a team whose rate is lower. If the bucket
-// had to hold the whole job it would be refused for ever; if it were free of
-// charge the team would have no quota.
-func TestLargeJobPassesAndIsPaidFor(t *testing.T) {
+// A job of 1,900 tasks belongs to a team with a lower rate. If the bucket had to hold
+// the whole job, the job would be refused permanently. If the job were not charged, the
+// team would have no quota.
+func TestLargeJobPassesAndLeavesDebt(t *testing.T) {
 	q := quotas(config.Team{Name: "big", TasksPerSecond: 100})
 	qt.Assert(t, q.Admit(start, "big", 1900).Allowed, qt.IsTrue)
 	v := q.Admit(start, "big", 1)
@@ -69,8 +68,8 @@
 	qt.Assert(t, q.Admit(start, "nobody", 1).Reason, qt.Equals, job.UnknownTeam)
 }
 
-// No team is configured, and a caller makes up a name for each job to have a
-// bound of its own each time.
+// No team is configured, and a caller makes up a new team name for each job to get a new
+// limit each time. All names must share one limit.
 func TestMadeUpTeamsShareOneBound(t *testing.T) {
 	q := New()
 	q.Configure(&config.File{Limits: config.Limits{MaxQueuedTasks: 10}}, 1)
@@ -86,8 +85,8 @@
 	qt.Assert(t, q.Queued("other"), qt.Equals, 0)
 }
 
-// A new configuration arrives while a team is over its rate. Had it reset the
-// bucket, 2,900 changes a day would be 2,900 further bursts.
+// A new configuration arrives while a team is over its rate. If it reset the bucket,
+// 2,900 configuration changes a day would allow 2,900 further bursts.
 func TestConfigureKeepsLevel(t *testing.T) {
 	q := quotas(config.Team{Name: "hot", TasksPerSecond: 100})
 	q.Admit(start, "hot", 100)
