--- a/internal/policy/reserve/reserve_test.go
+++ b/internal/policy/reserve/reserve_test.go
@@ -9,7 +9,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// offer lets work arrive evenly: short and long are the slots that each needs.
+// offer records work that arrives evenly. short and long are the numbers of slots that
+// each kind needs.
 func offer(r *Reserve, seconds int, short, long float64) time.Time {
 	now := start
 	for i := range seconds * 10 {
@@ -20,9 +21,9 @@
 	return now
 }
 
-// Long tasks fill a pool in which short ones need a known part of the slots.
-// Too small a reserve makes the short ones wait for seconds, too large a one
-// lets slots stand idle, and no long task may wait for ever.
+// Long tasks fill a pool in which short tasks need a known part of the slots. If the
+// reserve is too small, short tasks wait for seconds. If it is too large, slots are
+// idle. Long tasks must not starve.
 func TestMaxLong(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -31,10 +32,10 @@
 	}{
 		{"only long tasks", 0, 100, 400, 400},
 		{"a third short", 140, 100, 400 - 140 - 30, 400 - 140 - 20},
-		{"the long ones alone would fill it", 140, 400, 230, 300},
-		{"only short ones, more than there is", 800, 0, 25, 25},
-		{"both too many", 400, 400, 200, 200},
-		{"long ones below their share", 400, 100, 98, 102},
+		{"long tasks alone would fill the pool", 140, 400, 230, 300},
+		{"only short tasks, more than the pool has slots", 800, 0, 25, 25},
+		{"both kinds exceed their share", 400, 400, 200, 200},
+		{"long tasks below their share", 400, 100, 98, 102},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -46,9 +47,9 @@
 	}
 }
 
-// One large job of long tasks arrives. Averaged over a few seconds it looks as
-// if long work were more than the pool can do, and the reserve would be given
-// up just when it is needed.
+// One large job of long tasks arrives. Averaged over a few seconds, it looks as if long
+// tasks needed more than the pool has, and the reserve would disappear just when it is
+// needed.
 func TestOneLongJobIsNoOverload(t *testing.T) {
 	r := New()
 	now := offer(r, 20, 140, 0)
