--- a/internal/policy/retry/retry_test.go
+++ b/internal/policy/retry/retry_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Every request fails for a while. Retries must stay a tenth of the load, or
-// they keep the targets down that they are meant to spare.
+// Every request fails for a while. Retries must stay at a tenth of the load. With more,
+// they would keep overloading the failing targets.
 func TestBudget(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var b Budget
