--- a/internal/policy/pq/pq.go
+++ b/internal/policy/pq/pq.go
@@ -1,24 +1,24 @@
-// Package pq is a priority queue from which any item can be removed and in
-// which any item's rank can change, each in O(log n). Cancellations and
-// occupancy change in the middle of the queues, so container/heap alone, whose
-// items don't know their place, would make each of them a search.
+// Package pq provides a priority queue in which any item can be removed and any item's
+// rank can change, each in O(log n). Cancellations and changes in occupancy affect items
+// in the middle of the queues. With container/heap alone, each of them would need a
+// search, because its items do not know their position.
 package pq
 
-// Node is the place of one item in one queue. An item embeds one Node for each
-// queue that it can be in. The zero value is in no queue.
-type Node struct{ place int }
+// Node is the position of one item in one queue, counted from 1. An item contains one
+// Node for each queue that it can be in. The zero value is in no queue.
+type Node struct{ position int }
 
 // Queued reports whether the item is in the queue.
-func (n *Node) Queued() bool { return n.place > 0 }
+func (n *Node) Queued() bool { return n.position > 0 }
 
-// Heap holds items with the least first.
+// Heap is a binary heap with the least item first.
 type Heap[T any] struct {
 	items []T
 	less  func(a, b T) bool
 	node  func(T) *Node
 }
 
-// New returns an empty heap. node returns the item's place in this heap.
+// New returns an empty heap. node returns the item's Node for this heap.
 func New[T any](less func(a, b T) bool, node func(T) *Node) *Heap[T] {
 	return &Heap[T]{less: less, node: node}
 }
@@ -26,32 +26,31 @@
 // Len returns the number of items.
 func (h *Heap[T]) Len() int { return len(h.items) }
 
-// Min returns the least item. It panics on an empty heap.
+// Min returns the least item. It panics if the heap is empty.
 func (h *Heap[T]) Min() T { return h.items[0] }
 
-// At returns the item at position i of the heap's array: the children of i are
-// at 2i+1 and 2i+2 and never less than their parent.
+// At returns the item at index i of the heap's array. The children of the item at i are
+// at 2i+1 and 2i+2 and are never less than it.
 func (h *Heap[T]) At(i int) T { return h.items[i] }
 
 // Push adds an item that is not in the heap.
 func (h *Heap[T]) Push(x T) {
 	h.items = append(h.items, x)
-	h.node(x).place = len(h.items)
+	h.node(x).position = len(h.items)
 	h.up(len(h.items) - 1)
 }
 
-// Fix restores the order after the rank of x changed.
+// Fix restores the order after the rank of x has changed.
 func (h *Heap[T]) Fix(x T) {
-	i := h.node(x).place - 1
+	i := h.node(x).position - 1
 	if !h.down(i) {
 		h.up(i)
 	}
 }
 
-// Remove takes x out, wherever it is; it does nothing for an item that is in
-// no queue.
+// Remove removes x from any position. It does nothing if x is not in the heap.
 func (h *Heap[T]) Remove(x T) {
-	i := h.node(x).place - 1
+	i := h.node(x).position - 1
 	if i < 0 {
 		return
 	}
@@ -60,7 +59,7 @@
 	var zero T
 	h.items[last] = zero
 	h.items = h.items[:last]
-	h.node(x).place = 0
+	h.node(x).position = 0
 	if i < last && !h.down(i) {
 		h.up(i)
 	}
@@ -68,8 +67,8 @@
 
 func (h *Heap[T]) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.node(h.items[i]).place = i + 1
-	h.node(h.items[j]).place = j + 1
+	h.node(h.items[i]).position = i + 1
+	h.node(h.items[j]).position = j + 1
 }
 
 func (h *Heap[T]) up(i int) {
--- a/internal/policy/pq/pq_test.go
+++ b/internal/policy/pq/pq_test.go
@@ -12,11 +12,11 @@
 	node Node
 }
 
-// The same runs each time, unless the command line names another seed.
+// The test runs the same cases each time, unless the command line sets another seed.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// Whatever is pushed, re-ranked and removed in the middle, the least comes out
-// first and nothing is lost.
+// After any sequence of pushes, removals and rank changes, items come out in order and
+// none is lost.
 func TestOrderUnderChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := New(func(a, b *item) bool { return a.rank < b.rank }, func(x *item) *Node { return &x.node })
