--- a/internal/policy/crash/crash.go
+++ b/internal/policy/crash/crash.go
@@ -1,18 +1,18 @@
-// Package crash decides whether a task is to blame for targets that ended while it ran on
-// them.
+// Package crash decides whether a task caused the end of targets that it ran on.
 //
-// Load pattern: a task brings down each target that starts it. The target is back some
-// seconds later under a new life, and the task, whose run was lost, would be started on the
-// next one: one such task takes target after target and all that runs beside it, and a few a
-// second empty a pool. But several tasks run on a target when it goes, of which one at the
-// most is the cause; and targets also go by power, by a rack, or by a cut, many at a time.
-// A task that is given up for those costs its caller a job that could be done.
+// Load pattern: a task crashes every target that starts it. The target restarts within
+// seconds as a new incarnation, and the task, whose run was lost, is retried on another
+// target. One such task takes down target after target together with everything else that
+// runs there; a few per second empty a pool. But several tasks usually run on a target
+// when it ends, and at most one of them is the cause. Targets also end because of a power
+// loss, a failed rack or a network partition, many at a time. A task that is abandoned
+// for one of these costs its caller a job that could have completed.
 //
-// So a loss makes each task that ran there a suspect, which runs again alone on its target:
-// whoever brings down a second target has done it by itself and is given up, and a bystander
-// ends well and is cleared. Losses of many targets at once that have no job in common say
-// nothing of tasks, nor does that of a target which goes down time and again while the
-// others stay up.
+// So the loss of a target makes each task that ran there a suspect, which is retried
+// alone on its target. A task that ends a second target must be the cause and is
+// abandoned; a bystander completes and is cleared. Two kinds of losses say nothing about
+// tasks: the loss of many targets at once that have no job in common, and the loss of a
+// target that ends repeatedly while the others stay up.
 package crash
 
 import (
@@ -24,139 +24,146 @@
 )
 
 const (
-	// giveUpAfter is how many targets may end under a task that count against it. With
-	// one, each bystander of a crash would be given up; with more, each guilty task takes
-	// another target. mostLost is how many may end under it in all, whatever is known of
+	// maxCounted is the number of counted losses at which a task is abandoned. With one,
+	// each bystander of a crash would be abandoned; with more, each guilty task takes
+	// down another target. maxLost is the number of losses, counted or not, at which a
+	// task is abandoned.
+	maxCounted = 2
+	maxLost    = 3
+	// eventWindow is the time within which losses of targets count as one event: the
+	// times at which the leases of unresponsive targets expire differ by less.
+	eventWindow = 500 * time.Millisecond
+	// massMinTargets and massMinShare are the number of lost targets, and their share of
+	// the targets held, from which an event is not attributed to a task. A single guilty
+	// job may take down as many targets at once as it has tasks, but it ran on most of
 	// them.
-	giveUpAfter = 2
-	mostLost    = 3
-	// window is within what time losses of targets count as one event: the silence after
-	// which their leases have run out differs by less.
-	window = 500 * time.Millisecond
-	// massLeast and massPart are from how many lost targets on, and from which part of
-	// those held, an event is none of a task: a single guilty job takes as many at a time
-	// as it has tasks, but it ran on most of them.
-	massLeast = 4
-	massPart  = 0.3
-	// shakyFor is for how long a place counts as one whose targets end by themselves
-	// after one has, and shakyPart up to which part of the places held: where more end,
+	massMinTargets = 4
+	massMinShare   = 0.3
+	// unstablePeriod is how long a place counts as unstable, that is, as one whose
+	// targets end by themselves, after a target has ended there. maxUnstableShare is the
+	// share of the places held up to which this applies: where more places lose targets,
 	// tasks are the likelier cause.
-	shakyFor  = 30 * time.Second
-	shakyPart = 0.25
-	// remembered is for how long an account is kept after its last loss, and maxAccounts
-	// how many: callers send a job again within some seconds, and a pool that loses a
-	// hundred targets a second for as long has other troubles.
-	remembered  = 2 * time.Minute
-	maxAccounts = 8192
+	unstablePeriod   = 30 * time.Second
+	maxUnstableShare = 0.25
+	// retention is how long a record is kept after its last loss: callers resubmit a job
+	// within seconds. maxRecords bounds the number of records: a pool that loses a
+	// hundred targets a second for that long has worse problems.
+	retention  = 2 * time.Minute
+	maxRecords = 8192
 )
 
-// Task names one task.
+// Task identifies one task.
 type Task struct {
 	Submission job.ID
 	Index      int
 }
 
-// account is what is held against a task.
-type account struct {
-	// lost are the targets that ended under it, sure those of them that count against it.
-	lost, sure []job.TargetID
-	last       time.Time
-	// acquitted is set once a loss was taken back: many targets ended at once.
-	acquitted bool
+// lossRecord holds the losses of targets that a task was involved in.
+type lossRecord struct {
+	// lost are the targets that ended while the task ran on them; counted are those of
+	// them that count against the task.
+	lost, counted []job.TargetID
+	last          time.Time
+	// excused is set once all losses of the record were removed because many targets
+	// ended at once.
+	excused bool
 }
 
-// loss is one target that ended, and what ran on it.
+// loss is one target that ended, and the tasks that ran on it.
 type loss struct {
 	target job.TargetID
 	at     time.Time
 	tasks  []Task
 }
 
-// Verdict is what becomes of a task whose target ended under it.
+// Verdict is the decision on a task whose target ended while the task ran on it.
 type Verdict struct {
-	// GiveUp says that it is not started again. Otherwise Suspect says that it is to run
-	// alone.
+	// GiveUp says that the task is abandoned and not started again. Otherwise Suspect
+	// says that the task must run alone on its target.
 	GiveUp, Suspect bool
-	// Lost are the targets that ended under it, Sure those of them that count against it,
-	// for others to know.
+	// Lost are the targets that ended while the task ran on them, Sure those of them that
+	// count against it. Both are reported to other entries.
 	Lost, Sure []job.TargetID
 }
 
-// Ended is a target that ended while a task ran on it.
+// Ended describes a target that ended while a task ran on it.
 type Ended struct {
 	Target job.TargetID
-	// Place is where it ran: the next life of a target has another name.
+	// Place is where the target ran: the next incarnation of a target has another ID.
 	Place string
-	// Held is how many targets the entry holds, this one included.
+	// Held is the number of targets that the entry holds, including this one.
 	Held int
-	// Sure says that the target is known to have ended. One that was merely silent may
-	// have been cut off.
+	// Sure says that the target is known to have ended. A target that was only
+	// unresponsive may have been unreachable.
 	Sure bool
 }
 
-// Book keeps the accounts of tasks at one entry. It reads no clock and is safe for
+// Book keeps the loss records of tasks at one entry. It reads no clock and is safe for
 // concurrent use.
 type Book struct {
-	mu       sync.Mutex
-	accounts map[Task]*account
-	// order lists the tasks of accounts, oldest first.
+	mu      sync.Mutex
+	records map[Task]*lossRecord
+	// order lists the tasks of records, oldest first.
 	order  []Task
 	recent []loss
-	// places is when a target last ended at each place.
-	places map[string]time.Time
+	// lastLossAt is when a target last ended at each place.
+	lastLossAt map[string]time.Time
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book { return &Book{accounts: map[Task]*account{}, places: map[string]time.Time{}} }
+// NewBook returns a Book without records.
+func NewBook() *Book {
+	return &Book{records: map[Task]*lossRecord{}, lastLossAt: map[string]time.Time{}}
+}
 
-// Lost takes that a target ended while a task ran on it.
+// Lost records that a target ended while a task ran on it, and returns the decision on
+// the task.
 func (b *Book) Lost(now time.Time, t Task, e Ended) Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expire(now)
-	b.note(now, t, e.Target)
-	a := b.add(now, t, e.Target)
-	if e.Sure && !b.isShaky(now, e) && !slices.Contains(a.sure, e.Target) {
-		a.sure = append(a.sure, e.Target)
+	b.noteLoss(now, t, e.Target)
+	a := b.addLosses(now, t, e.Target)
+	if e.Sure && !b.isUnstable(now, e) && !slices.Contains(a.counted, e.Target) {
+		a.counted = append(a.counted, e.Target)
 	}
 	if e.Sure {
-		b.places[e.Place] = now
+		b.lastLossAt[e.Place] = now
 	}
-	if b.isMass(e.Held) {
-		b.acquit()
+	if b.isMassLoss(e.Held) {
+		b.excuseMassLoss()
 	}
-	return b.verdict(t)
+	return b.decide(t)
 }
 
-// isShaky reports whether targets at a place end by themselves: one has before this event,
-// and few others have.
-func (b *Book) isShaky(now time.Time, e Ended) bool {
-	last, ended := b.places[e.Place]
-	return ended && now.Sub(last) > window && float64(len(b.places)) <= shakyPart*float64(e.Held)
+// isUnstable reports whether targets at a place end by themselves: one ended there before
+// this event, and targets ended at few other places.
+func (b *Book) isUnstable(now time.Time, e Ended) bool {
+	last, ended := b.lastLossAt[e.Place]
+	return ended && now.Sub(last) > eventWindow && float64(len(b.lastLossAt)) <= maxUnstableShare*float64(e.Held)
 }
 
-// Verdict returns what is to become of a task that is to be started.
+// Verdict returns the decision on a task that is about to be started.
 func (b *Book) Verdict(t Task) Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.verdict(t)
+	return b.decide(t)
 }
 
-func (b *Book) verdict(t Task) Verdict {
-	a := b.accounts[t]
+func (b *Book) decide(t Task) Verdict {
+	a := b.records[t]
 	if a == nil {
 		return Verdict{}
 	}
 	return Verdict{
-		GiveUp:  len(a.sure) >= giveUpAfter || len(a.lost) >= mostLost,
-		Suspect: len(a.sure) > 0 || len(a.lost) >= giveUpAfter,
+		GiveUp:  len(a.counted) >= maxCounted || len(a.lost) >= maxLost,
+		Suspect: len(a.counted) > 0 || len(a.lost) >= maxCounted,
 		Lost:    slices.Clone(a.lost),
-		Sure:    slices.Clone(a.sure),
+		Sure:    slices.Clone(a.counted),
 	}
 }
 
-// Learn takes in what counts against a task by the word of others. What is known already adds nothing, by
-// whatever way and however often it comes.
+// Learn merges losses that another entry counts against a task. Losses that are already
+// known add nothing, whatever their path and however often they arrive.
 func (b *Book) Learn(now time.Time, t Task, lost []job.TargetID) {
 	if len(lost) == 0 {
 		return
@@ -164,33 +171,33 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expire(now)
-	a := b.add(now, t, lost...)
+	a := b.addLosses(now, t, lost...)
 	for _, id := range lost {
-		if !slices.Contains(a.sure, id) {
-			a.sure = append(a.sure, id)
+		if !slices.Contains(a.counted, id) {
+			a.counted = append(a.counted, id)
 		}
 	}
 }
 
-// Cleared forgets what is held against a task that has ended well.
+// Cleared drops the losses counted against a task that completed.
 func (b *Book) Cleared(t Task) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.accounts, t)
+	delete(b.records, t)
 }
 
-// Len returns how many tasks have an account.
+// Len returns the number of tasks that have a record.
 func (b *Book) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.accounts)
+	return len(b.records)
 }
 
-func (b *Book) add(now time.Time, t Task, lost ...job.TargetID) *account {
-	a := b.accounts[t]
+func (b *Book) addLosses(now time.Time, t Task, lost ...job.TargetID) *lossRecord {
+	a := b.records[t]
 	if a == nil {
-		a = &account{}
-		b.accounts[t] = a
+		a = &lossRecord{}
+		b.records[t] = a
 		b.order = append(b.order, t)
 	}
 	a.last = now
@@ -202,8 +209,8 @@
 	return a
 }
 
-// note adds a task to the loss of its target.
-func (b *Book) note(now time.Time, t Task, target job.TargetID) {
+// noteLoss adds a task to the loss of its target.
+func (b *Book) noteLoss(now time.Time, t Task, target job.TargetID) {
 	for i := range b.recent {
 		if b.recent[i].target == target {
 			b.recent[i].tasks = append(b.recent[i].tasks, t)
@@ -213,23 +220,24 @@
 	b.recent = append(b.recent, loss{target: target, at: now, tasks: []Task{t}})
 }
 
-// isMass reports whether the losses of the window are of many targets, and of no job.
-func (b *Book) isMass(held int) bool {
+// isMassLoss reports whether the losses within the event window involve many targets and
+// no job ran on most of them.
+func (b *Book) isMassLoss(held int) bool {
 	n := len(b.recent)
-	if n < massLeast || float64(n) < massPart*float64(held) {
+	if n < massMinTargets || float64(n) < massMinShare*float64(held) {
 		return false
 	}
-	ranOn := map[job.ID]int{}
+	targetsByJob := map[job.ID]int{}
 	for i := range b.recent {
-		here := map[job.ID]bool{}
+		onTarget := map[job.ID]bool{}
 		for _, t := range b.recent[i].tasks {
-			here[t.Submission] = true
+			onTarget[t.Submission] = true
 		}
-		for id := range here {
-			ranOn[id]++
+		for id := range onTarget {
+			targetsByJob[id]++
 		}
 	}
-	for _, on := range ranOn {
+	for _, on := range targetsByJob {
 		if 2*on >= n {
 			return false
 		}
@@ -237,38 +245,39 @@
 	return true
 }
 
-// acquit takes the losses of the window out of all accounts but of those that had one before:
-// where many tasks bring targets down, some of their crashes fall together too.
-func (b *Book) acquit() {
+// excuseMassLoss removes the losses of the event window from all records except those of
+// tasks that had a loss before, even an excused one: where many tasks crash targets, some
+// of their crashes coincide too.
+func (b *Book) excuseMassLoss() {
 	for i := range b.recent {
 		for _, t := range b.recent[i].tasks {
-			a := b.accounts[t]
-			if a == nil || len(a.lost) != 1 || a.acquitted {
+			a := b.records[t]
+			if a == nil || len(a.lost) != 1 || a.excused {
 				continue
 			}
 			same := func(id job.TargetID) bool { return id == b.recent[i].target }
-			a.lost, a.sure = slices.DeleteFunc(a.lost, same), slices.DeleteFunc(a.sure, same)
-			a.acquitted = len(a.lost) == 0
+			a.lost, a.counted = slices.DeleteFunc(a.lost, same), slices.DeleteFunc(a.counted, same)
+			a.excused = len(a.lost) == 0
 		}
 	}
 }
 
-// expire forgets old losses and accounts.
+// expire drops old losses and records.
 func (b *Book) expire(now time.Time) {
-	b.recent = slices.DeleteFunc(b.recent, func(l loss) bool { return now.Sub(l.at) > window })
-	for place, last := range b.places {
-		if now.Sub(last) > shakyFor {
-			delete(b.places, place)
+	b.recent = slices.DeleteFunc(b.recent, func(l loss) bool { return now.Sub(l.at) > eventWindow })
+	for place, last := range b.lastLossAt {
+		if now.Sub(last) > unstablePeriod {
+			delete(b.lastLossAt, place)
 		}
 	}
 	for range len(b.order) {
 		first := b.order[0]
-		a := b.accounts[first]
-		old := a == nil || now.Sub(a.last) > remembered
-		if !old && len(b.order) <= maxAccounts {
+		a := b.records[first]
+		old := a == nil || now.Sub(a.last) > retention
+		if !old && len(b.order) <= maxRecords {
 			return
 		}
 		b.order = b.order[1:]
-		delete(b.accounts, first)
+		delete(b.records, first)
 	}
 }
--- a/internal/policy/crash/crash_test.go
+++ b/internal/policy/crash/crash_test.go
@@ -14,36 +14,37 @@
 
 func task(id string, index int) Task { return Task{job.ID(id), index} }
 
-// Guards against a task that takes target after target.
-func TestSecondLostTargetEndsATask(t *testing.T) {
+// Guards against a task that takes down target after target.
+func TestTaskIsAbandonedAfterSecondLostTarget(t *testing.T) {
 	b := NewBook()
-	v := b.Lost(start, task("a", 0), on("t1"))
+	v := b.Lost(start, task("a", 0), endedTarget("t1"))
 	qt.Assert(t, v.GiveUp, qt.IsFalse)
 	qt.Assert(t, v.Suspect, qt.IsTrue)
-	v = b.Lost(start.Add(3*time.Second), task("a", 0), on("t2"))
+	v = b.Lost(start.Add(3*time.Second), task("a", 0), endedTarget("t2"))
 	qt.Assert(t, v.GiveUp, qt.IsTrue)
 	qt.Assert(t, v.Lost, qt.DeepEquals, []job.TargetID{"t1", "t2"})
 	qt.Assert(t, b.Verdict(task("a", 1)).Suspect, qt.IsFalse)
 }
 
-// Guards against bystanders that are given up, and against suspicion that stays.
-func TestBystanderThatEndsWellIsCleared(t *testing.T) {
+// Guards against bystanders that are abandoned, and against suspicion that outlasts the
+// task's success.
+func TestBystanderThatCompletesIsCleared(t *testing.T) {
 	b := NewBook()
-	b.Lost(start, task("guilty", 0), on("t1"))
-	b.Lost(start, task("bystander", 3), on("t1"))
+	b.Lost(start, task("guilty", 0), endedTarget("t1"))
+	b.Lost(start, task("bystander", 3), endedTarget("t1"))
 	b.Cleared(task("bystander", 3))
-	v := b.Lost(start.Add(time.Minute), task("bystander", 3), on("t9"))
+	v := b.Lost(start.Add(time.Minute), task("bystander", 3), endedTarget("t9"))
 	qt.Assert(t, v.GiveUp, qt.IsFalse)
 }
 
-// Guards against jobs that are given up since a rack, a cut or a power failure took the
-// targets under them, twice.
-func TestManyTargetsAtOnceSayNothingOfTasks(t *testing.T) {
+// Guards against jobs that are abandoned because a rack failure, a network partition or a
+// power loss ended their targets twice.
+func TestMassLossCountsAgainstNoTask(t *testing.T) {
 	b := NewBook()
 	for round := range 2 {
 		at := start.Add(time.Duration(round) * 10 * time.Second)
 		for i := range 6 {
-			b.Lost(at, task(fmt.Sprint("job", i), 0), on(job.TargetID(fmt.Sprintf("t%d-%d", round, i))))
+			b.Lost(at, task(fmt.Sprint("job", i), 0), endedTarget(job.TargetID(fmt.Sprintf("t%d-%d", round, i))))
 		}
 	}
 	for i := range 6 {
@@ -51,57 +52,58 @@
 	}
 	once := NewBook()
 	for i := range 6 {
-		once.Lost(start, task(fmt.Sprint("job", i), 0), on(job.TargetID(fmt.Sprint("t", i))))
+		once.Lost(start, task(fmt.Sprint("job", i), 0), endedTarget(job.TargetID(fmt.Sprint("t", i))))
 	}
 	for i := range 6 {
 		qt.Assert(t, once.Verdict(task(fmt.Sprint("job", i), 0)).Suspect, qt.IsFalse, qt.Commentf("job %d", i))
 	}
 }
 
-// Guards against a wide job whose tasks all bring down their targets, and which is taken for
-// a power failure.
-func TestTargetsOfOneJobAreNoPowerFailure(t *testing.T) {
+// Guards against mistaking a wide job whose tasks all crash their targets for a power
+// loss.
+func TestLossesOfOneJobAreNotAMassLoss(t *testing.T) {
 	b := NewBook()
 	for i := range 8 {
-		b.Lost(start, task("guilty", i), on(job.TargetID(fmt.Sprint("t", i))))
-		b.Lost(start, task(fmt.Sprint("bystander", i), 0), on(job.TargetID(fmt.Sprint("t", i))))
+		b.Lost(start, task("guilty", i), endedTarget(job.TargetID(fmt.Sprint("t", i))))
+		b.Lost(start, task(fmt.Sprint("bystander", i), 0), endedTarget(job.TargetID(fmt.Sprint("t", i))))
 	}
 	qt.Assert(t, b.Verdict(task("guilty", 0)).Suspect, qt.IsTrue)
 	qt.Assert(t, b.Verdict(task("bystander0", 0)).Suspect, qt.IsTrue)
 }
 
-// Guards against an account that is lost with its holder or owner, and one that grows by
-// being told again.
-func TestAccountsTravel(t *testing.T) {
+// Guards against a loss record that is lost together with its holder or owner, and one
+// that grows when the same losses are reported again.
+func TestRecordsAreShared(t *testing.T) {
 	first, second := NewBook(), NewBook()
-	first.Lost(start, task("a", 0), on("t1"))
+	first.Lost(start, task("a", 0), endedTarget("t1"))
 	for range 3 {
 		second.Learn(start, task("a", 0), first.Verdict(task("a", 0)).Sure)
 	}
 	qt.Assert(t, second.Verdict(task("a", 0)).GiveUp, qt.IsFalse)
 	qt.Assert(t, second.Verdict(task("a", 0)).Suspect, qt.IsTrue)
-	qt.Assert(t, second.Lost(start, task("a", 0), on("t1")).GiveUp, qt.IsFalse)
-	qt.Assert(t, second.Lost(start, task("a", 0), on("t2")).GiveUp, qt.IsTrue)
+	qt.Assert(t, second.Lost(start, task("a", 0), endedTarget("t1")).GiveUp, qt.IsFalse)
+	qt.Assert(t, second.Lost(start, task("a", 0), endedTarget("t2")).GiveUp, qt.IsTrue)
 }
 
-// Guards against memory that grows with the tasks that were ever suspected.
-func TestAccountsAreBounded(t *testing.T) {
+// Guards against memory that grows with the number of tasks that were ever suspected.
+func TestRecordsAreBounded(t *testing.T) {
 	b := NewBook()
-	for i := range 2 * maxAccounts {
+	for i := range 2 * maxRecords {
 		b.Learn(start, task("job", i), []job.TargetID{"t"})
 	}
-	qt.Assert(t, b.Len() <= maxAccounts+1, qt.IsTrue, qt.Commentf("%d", b.Len()))
-	b.Learn(start.Add(remembered+time.Second), task("late", 0), []job.TargetID{"t"})
+	qt.Assert(t, b.Len() <= maxRecords+1, qt.IsTrue, qt.Commentf("%d", b.Len()))
+	b.Learn(start.Add(retention+time.Second), task("late", 0), []job.TargetID{"t"})
 	qt.Assert(t, b.Len(), qt.Equals, 1)
 }
 
-// on is a target that has a place of its own among twenty.
-func on(id job.TargetID) Ended {
+// endedTarget returns a target with a place of its own, held by an entry with twenty
+// targets.
+func endedTarget(id job.TargetID) Ended {
 	return Ended{Target: id, Place: "at " + string(id), Held: 20, Sure: true}
 }
 
-// Guards against jobs that are given up for a machine that goes down time and again.
-func TestTargetsThatGoDownByThemselvesCountAgainstNoTask(t *testing.T) {
+// Guards against jobs that are abandoned because of a machine that goes down repeatedly.
+func TestUnstableTargetsCountAgainstNoTask(t *testing.T) {
 	b := NewBook()
 	down := func(at time.Duration, id string, tasks ...Task) (v Verdict) {
 		for _, x := range tasks {
@@ -111,16 +113,16 @@
 	}
 	down(0, "t1", task("a", 0))
 	qt.Assert(t, down(3*time.Second, "t2", task("b", 0)).GiveUp, qt.IsFalse)
-	qt.Assert(t, b.Lost(start.Add(6*time.Second), task("b", 0), on("t9")).GiveUp, qt.IsFalse)
-	qt.Assert(t, b.Lost(start.Add(9*time.Second), task("b", 0), on("t10")).GiveUp, qt.IsTrue)
+	qt.Assert(t, b.Lost(start.Add(6*time.Second), task("b", 0), endedTarget("t9")).GiveUp, qt.IsFalse)
+	qt.Assert(t, b.Lost(start.Add(9*time.Second), task("b", 0), endedTarget("t10")).GiveUp, qt.IsTrue)
 }
 
-// Guards against a task that takes target after target which merely fall silent, and against
-// tasks that are suspected for one that was cut off.
-func TestThirdTargetIsTheLast(t *testing.T) {
+// Guards against a task that makes target after target unresponsive, and against tasks
+// that become suspects because one target was unreachable.
+func TestTaskIsAbandonedAfterThirdUnconfirmedLoss(t *testing.T) {
 	b := NewBook()
-	silent := func(id job.TargetID) Ended { return Ended{Target: id, Place: "at " + string(id), Held: 20} }
-	qt.Assert(t, b.Lost(start, task("a", 0), silent("t1")).Suspect, qt.IsFalse)
-	qt.Assert(t, b.Lost(start.Add(time.Second), task("a", 0), silent("t2")).Suspect, qt.IsTrue)
-	qt.Assert(t, b.Lost(start.Add(2*time.Second), task("a", 0), silent("t3")).GiveUp, qt.IsTrue)
+	unresponsive := func(id job.TargetID) Ended { return Ended{Target: id, Place: "at " + string(id), Held: 20} }
+	qt.Assert(t, b.Lost(start, task("a", 0), unresponsive("t1")).Suspect, qt.IsFalse)
+	qt.Assert(t, b.Lost(start.Add(time.Second), task("a", 0), unresponsive("t2")).Suspect, qt.IsTrue)
+	qt.Assert(t, b.Lost(start.Add(2*time.Second), task("a", 0), unresponsive("t3")).GiveUp, qt.IsTrue)
 }
