--- a/internal/policy/health/health_test.go
+++ b/internal/policy/health/health_test.go
@@ -40,10 +40,10 @@
 	f.Failed(now, f.targets[i], f.id(i), estimate.Kind{Name: kind}, probe)
 }
 
-// A target loses its disk: whatever it is given fails, while the others work.
-// It is held back after a few failures, then tried with one task at a time at
-// growing intervals, and is back after two good ones.
-func TestFailingTargetIsHeldAndProbed(t *testing.T) {
+// A target loses its disk, so every task on it fails while the others work. It is
+// quarantined after a few failures, then probed with one task at a time at growing
+// intervals, and released after two successful probes.
+func TestFailingTargetIsQuarantinedAndProbed(t *testing.T) {
 	f := newFleet(10)
 	for i := range f.targets {
 		f.done(start, i, "k", run, false)
@@ -65,16 +65,16 @@
 		qt.Assert(t, waiting, qt.IsFalse)
 		f.fail(now, 0, "k", true)
 	}
-	qt.Assert(t, gap, qt.Equals, failGapMax)
+	qt.Assert(t, gap, qt.Equals, maxFailBackoff)
 	f.done(now, 0, "k", run, true)
 	qt.Assert(t, f.targets[0].Held(), qt.IsTrue)
 	f.done(now, 0, "k", run, true)
 	qt.Assert(t, f.targets[0].Held(), qt.IsFalse)
 }
 
-// One target fails task after task of a kind until it is held back, then a
-// second one begins. The first one's many failures are one target's: counted
-// singly they would pass for a kind that fails everywhere.
+// One target fails tasks of a kind until it is quarantined, then a second one starts to
+// fail. The many failures of the first count as one target's: counted singly, they would
+// look like a kind that fails everywhere.
 func TestOneTargetsFailuresCountOnce(t *testing.T) {
 	f := newFleet(10)
 	for i := range f.targets {
@@ -89,10 +89,10 @@
 	qt.Assert(t, f.targets[1].Held(), qt.IsTrue)
 }
 
-// Three causes of failure that are no target's fault: a store behind all of
-// them, a kind of task that fails everywhere, and tasks that fail now and then.
-// Holding targets back for them would leave callers with none.
-func TestFaultsOfTasksHoldNobody(t *testing.T) {
+// Three causes of failure that are no target's fault: a store that all targets depend on,
+// a kind of task that fails everywhere, and tasks that fail occasionally. Quarantining
+// targets for them would leave callers with none.
+func TestTaskFaultsQuarantineNoTarget(t *testing.T) {
 	cases := map[string]func(f fleet, i, round int){
 		"all kinds fail everywhere": func(f fleet, i, round int) { f.fail(start, i, fmt.Sprint(round%40), false) },
 		"one kind fails everywhere": func(f fleet, i, round int) {
@@ -116,14 +116,14 @@
 				}
 			}
 			for i, x := range f.targets {
-				qt.Assert(t, x.Held(), qt.IsFalse, qt.Commentf("target %d, sum %v", i, x.sum))
+				qt.Assert(t, x.Held(), qt.IsFalse, qt.Commentf("target %d, sum %v", i, x.failureSum))
 			}
 		})
 	}
 }
 
-// Six of ten targets get a broken image at once. They are the majority, but
-// the four others show that it isn't the tasks.
+// Six of ten targets get a broken image at once. They are the majority, but the other
+// four show that the tasks are not the cause.
 func TestBrokenMajority(t *testing.T) {
 	f := newFleet(10)
 	for range 100 {
@@ -138,13 +138,13 @@
 		}
 	}
 	for i, x := range f.targets {
-		qt.Assert(t, x.Held(), qt.Equals, i < 6, qt.Commentf("target %d, sum %v", i, x.sum))
+		qt.Assert(t, x.Held(), qt.Equals, i < 6, qt.Commentf("target %d, sum %v", i, x.failureSum))
 	}
 }
 
-// The only target fails. Held back, it would leave callers waiting for nothing
-// in place of an error.
-func TestLastTargetStays(t *testing.T) {
+// The only target fails. If it were quarantined, callers would wait in vain instead of
+// getting an error.
+func TestLastTargetStaysInService(t *testing.T) {
 	f := newFleet(1)
 	for range 50 {
 		f.fail(start, 0, "k", false)
@@ -152,9 +152,9 @@
 	qt.Assert(t, f.targets[0].Held(), qt.IsFalse)
 }
 
-// A target becomes four times slower, then recovers. It counts as slow within
-// a few tasks and as sound again after a few probes; one that is slower by
-// chance, or a day on which all are slower, makes nobody slow.
+// A target becomes four times slower, then recovers. It counts as slow within a few tasks
+// and as healthy again after a few probes. Random variation, or a slowdown of all
+// targets, makes none of them slow.
 func TestSlowTarget(t *testing.T) {
 	f := newFleet(10)
 	jitter := func(i, round int) time.Duration { return run * time.Duration(70+(i*7+round*13)%60) / 100 }
@@ -195,9 +195,9 @@
 	}
 }
 
-// All tasks run equally long, so chance explains no difference, and one target
-// is slower by less than the estimates can tell. Held for slow, it would get
-// single probes only, for nothing.
+// All tasks run equally long, so chance explains no difference, and one target is slower
+// by less than the resolution of the estimates. If it counted as slow, it would
+// needlessly receive single probes only.
 func TestSmallDifferenceIsNotSlow(t *testing.T) {
 	f := newFleet(5)
 	for range 200 {
@@ -214,18 +214,18 @@
 	qt.Assert(t, f.Slowness(f.targets[0]), qt.Equals, 1.0)
 }
 
-// A target answers "busy" to several tasks of one moment. That is one refusal:
-// counted as eight, it would be left alone for the longest time at once.
-func TestRefusalsOfOneMoment(t *testing.T) {
+// A target answers "busy" to several tasks at the same moment. That counts as one
+// refusal: counted as eight, it would cause the longest backoff at once.
+func TestSimultaneousRefusalsCountOnce(t *testing.T) {
 	f := newFleet(2)
 	for range 8 {
 		f.Refused(start, f.targets[0], false)
 	}
 	at, _ := f.targets[0].ProbeAt()
-	qt.Assert(t, at.Sub(start), qt.Equals, refuseGap)
+	qt.Assert(t, at.Sub(start), qt.Equals, minRefuseBackoff)
 	f.Refused(at, f.targets[0], true)
 	again, _ := f.targets[0].ProbeAt()
-	qt.Assert(t, again.Sub(at), qt.Equals, 2*refuseGap)
+	qt.Assert(t, again.Sub(at), qt.Equals, 2*minRefuseBackoff)
 	f.done(again, 0, "k", run, true)
 	qt.Assert(t, f.targets[0].Held(), qt.IsFalse)
 }
--- a/internal/policy/health/ring.go
+++ b/internal/policy/health/ring.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// ringSize is how many targets' last outcomes with one kind are kept. Two
+	// ringSize is the number of targets whose last outcome with one kind is kept. Two
 	// thirds of them, eleven failures, show that a kind fails everywhere.
 	ringSize = 16
-	// maxKinds bounds the rings, since callers choose the kinds. The kinds
-	// beyond it share one ring.
+	// maxKinds bounds the number of rings, since callers choose the kinds. Kinds beyond
+	// it share one ring.
 	maxKinds = 1024
 )
 
-// ring holds the last outcome of a kind of task on each of the last targets.
-type ring struct {
+// outcomeRing holds the last outcome of a kind of task on each of the most recent
+// targets.
+type outcomeRing struct {
 	entries [ringSize]entry
 	next    int
 }
@@ -25,7 +26,7 @@
 	failed bool
 }
 
-func (f *Fleet) ring(kind estimate.Kind) *ring {
+func (f *Fleet) outcomeRing(kind estimate.Kind) *outcomeRing {
 	r := f.kinds[kind]
 	if r != nil {
 		return r
@@ -36,14 +37,14 @@
 			return r
 		}
 	}
-	r = &ring{}
+	r = &outcomeRing{}
 	f.kinds[kind] = r
 	return r
 }
 
-// put replaces the target's older outcome, so that one target that is asked
-// often doesn't fill the ring with its own failures.
-func (r *ring) put(id job.TargetID, failed bool) {
+// put replaces the target's older outcome, so that one target that is used often doesn't
+// fill the ring with its own failures.
+func (r *outcomeRing) put(id job.TargetID, failed bool) {
 	for i := range r.entries {
 		if r.entries[i].id == id {
 			r.entries[i].failed = failed
@@ -54,8 +55,8 @@
 	r.next = (r.next + 1) % ringSize
 }
 
-// failing is the share of the other targets that failed.
-func (r *ring) failing(except job.TargetID) float64 {
+// failing returns the share of the other targets that failed.
+func (r *outcomeRing) failing(except job.TargetID) float64 {
 	n, failures := 0, 0
 	for i := range r.entries {
 		e := &r.entries[i]
