--- a/internal/policy/voters/voters.go
+++ b/internal/policy/voters/voters.go
@@ -1,16 +1,15 @@
-// Package voters decides how the set of voters is mended without an operator:
-// which disk takes the place of one that is lost, and which ones are added
-// until the fleet bears the losses that it has to.
+// Package voters decides how the set of voters is repaired without an operator: which
+// disk replaces a lost one, and which disks are added until the fleet tolerates the
+// number of failures that it is configured for.
 //
-// The pattern that it answers is VMs whose disks are lost or that are replaced
-// for good, one after the other, while others are restarted, frozen or cut off
-// for seconds. A set that keeps a dead voter tolerates one failure less than the fleet
-// is configured for, and the next one can take the majority for good: none is left to
-// agree on a repair.
+// Load pattern: VMs lose their disks or are replaced permanently, one after the other,
+// while others are restarted, frozen or unreachable for seconds. A set that keeps a dead
+// voter tolerates one failure less than the fleet is configured for, and the next failure
+// can destroy the majority permanently, so that nobody is left to agree on a repair.
 //
-// So a dead voter gives its place to a spare disk at once, and not after the time in
-// which it might return. A needless replacement costs two rounds of synced writes and
-// is harmless: a voter that returns is a spare, and its old vote counts no more.
+// So a dead voter is replaced by a spare disk right away, without waiting for its
+// possible return. A needless replacement costs two rounds of synced writes and is
+// harmless: a voter that returns is a spare, and its old vote no longer counts.
 package voters
 
 import (
@@ -22,29 +21,29 @@
 )
 
 const (
-	// AwayTime is how long a dead voter must have been silent before it is replaced: a
-	// process that is restarted at once is back sooner, though its machine's refusal of
-	// connections has shown its end.
+	// AwayTime is how long a dead voter must have been unresponsive before it is
+	// replaced. A process that is restarted immediately is back sooner, although
+	// connections refused by its machine have shown that it ended.
 	AwayTime = 1500 * time.Millisecond
-	// SettledTime is how long a spare disk must have been heard without a break.
+	// SettledTime is how long a spare disk must have been reachable without interruption.
 	SettledTime = time.Second
-	// TurnTime is how long a change must be due before the next voter in order carries
-	// it out: the one before it may be unable to.
+	// TurnTime is how long a change must be due before the next voter in order carries it
+	// out, in case the previous one is unable to.
 	TurnTime = 1500 * time.Millisecond
 )
 
-// Liveness is how the entry that judges sees another one.
+// Liveness is the state of an entry as seen by the entry that evaluates the voters.
 type Liveness uint8
 
-// The kinds of liveness.
+// The values of Liveness.
 const (
-	// Suspect has not been heard lately, and may be alive.
+	// Suspect entries were not heard from lately, and may be alive.
 	Suspect Liveness = iota
-	// Alive is heard.
+	// Alive entries respond.
 	Alive
-	// Draining is heard, and about to stop as planned.
+	// Draining entries respond, and are about to stop as planned.
 	Draining
-	// Dead has been declared dead, or has stopped.
+	// Dead entries were declared dead, or have stopped.
 	Dead
 )
 
@@ -61,32 +60,33 @@
 	return "suspect"
 }
 
-// running reports whether the entry still takes part.
+// running reports whether the entry still participates.
 func (l Liveness) running() bool { return l == Alive || l == Draining }
 
 // Disk is one entry with a data folder, voter or not.
 type Disk struct {
 	Entry job.EntryID
 	Zone  job.Zone
-	// Voter says that the register names the entry.
+	// Voter says that the register lists the entry as a voter.
 	Voter bool
-	// Foreign says that the entry's disk is not the one that the register
-	// names: the named one was lost.
+	// Foreign says that the entry's disk is not the one that the register lists: the
+	// listed one was lost.
 	Foreign  bool
 	Liveness Liveness
-	// Stopped says of a dead one that it announced its stop.
+	// Stopped says that a dead entry had announced its stop.
 	Stopped bool
-	// Since is from when on the entry has been alive without a break, or has not been.
+	// Since is when the entry became alive, or stopped being alive, without interruption
+	// since then.
 	Since time.Time
 }
 
-// Votes reports whether the entry is alive and holds the vote that the register names.
+// Votes reports whether the entry is alive and holds the vote that the register lists.
 func (d *Disk) Votes() bool { return d.Voter && !d.Foreign && d.Liveness.running() }
 
-// Spare reports whether the entry is alive to stay and does not vote.
+// Spare reports whether the entry is alive, is not draining and does not vote.
 func (d *Disk) Spare() bool { return !d.Voter && d.Liveness == Alive }
 
-// replaceable reports whether the voter's place is to be given away.
+// replaceable reports whether the voter should be replaced.
 func (d *Disk) replaceable(now time.Time) bool {
 	switch d.Liveness {
 	case Draining:
@@ -97,51 +97,54 @@
 	return false
 }
 
-// Action is one change of the voters; the zero value is none.
+// Action is one change of the voters; the zero value is no change.
 type Action struct {
-	// Old is the voter that is replaced; empty for one that is added.
+	// Old is the voter that is replaced; empty if a voter is added.
 	Old job.EntryID
 	New job.EntryID
-	// Cause words the decision for logs.
+	// Cause explains the decision in logs.
 	Cause string
 }
 
-// Reason says what a look at the voters found.
+// Reason is the result of an evaluation of the voters.
 type Reason string
 
-// The reasons.
+// The values of Reason.
 const (
-	// Healthy says that every voter is alive and there are as many as asked.
+	// Healthy says that every voter is alive and that there are as many as required.
 	Healthy Reason = "healthy"
-	// DiskLost says that a voter came back with an empty disk.
+	// DiskLost says that a voter returned with an empty disk.
 	DiskLost Reason = "voter_disk_lost"
-	// VoterDead says that a voter is dead and a spare disk takes its place.
+	// VoterDead says that a voter is dead and that a spare disk replaces it.
 	VoterDead Reason = "voter_dead"
-	// VoterDraining says that a voter stops as planned and a spare disk takes its place.
+	// VoterDraining says that a voter is about to stop as planned and that a spare disk
+	// replaces it.
 	VoterDraining Reason = "voter_draining"
-	// TooFew says that the fleet has to tolerate more failures than its voters do.
+	// TooFew says that the fleet must tolerate more failures than its voters do.
 	TooFew Reason = "too_few_voters"
-	// ZoneMajority says that the loss of one availability zone would take the majority.
+	// ZoneMajority says that the loss of one availability zone would destroy the
+	// majority.
 	ZoneMajority Reason = "zone_has_majority"
-	// VoterSuspect says that a voter is silent and not dead for long enough.
+	// VoterSuspect says that a voter is unresponsive, but has not been dead for long
+	// enough.
 	VoterSuspect Reason = "voter_suspect"
-	// NoSpare says that a change is due and no spare disk is fit for it.
+	// NoSpare says that a change is due and that no spare disk is eligible.
 	NoSpare Reason = "no_spare_disk"
 )
 
-// Verdict is the outcome of a look at the voters.
+// Verdict is the result of evaluating the voters.
 type Verdict struct {
 	Reason Reason
-	// Voter is the voter that the reason is about; empty where it is about the set.
+	// Voter is the voter that the reason refers to; empty if it refers to the set.
 	Voter job.EntryID
-	// Action is what is to be done; the zero value is nothing.
+	// Action is the change to carry out; the zero value is none.
 	Action Action
 }
 
-// Due reports whether something is to be done.
+// Due reports whether a change is to be carried out.
 func (v *Verdict) Due() bool { return v.Action.New != "" }
 
-// Plan judges the set and returns its next change, if one is due. want is how many
+// Plan evaluates the set and returns its next change, if one is due. want is how many
 // voters the fleet needs.
 func Plan(now time.Time, disks []Disk, want int) Verdict {
 	disks = slices.Clone(disks)
@@ -157,7 +160,7 @@
 			if !d.Voter || d.Liveness != liveness {
 				continue
 			}
-			v := replace(now, disks, &d)
+			v := planReplacement(now, disks, &d)
 			if v.Due() {
 				return v
 			}
@@ -166,9 +169,9 @@
 			}
 		}
 	}
-	if count(disks) < want {
-		if spare, ok := pick(now, disks, ""); ok {
-			return Verdict{Reason: TooFew, Action: Action{New: spare, Cause: "the fleet has to bear more losses than its voters do"}}
+	if countVoters(disks) < want {
+		if spare, ok := pickSpare(now, disks, ""); ok {
+			return Verdict{Reason: TooFew, Action: Action{New: spare, Cause: "the fleet must tolerate more failures than its voters do"}}
 		}
 		if found.Reason == Healthy {
 			found.Reason = NoSpare
@@ -177,18 +180,18 @@
 	if found.Reason != Healthy {
 		return found
 	}
-	return spread(now, disks)
+	return planSpread(now, disks)
 }
 
-// replace judges one voter that is not there to stay.
-func replace(now time.Time, disks []Disk, d *Disk) Verdict {
+// planReplacement evaluates one voter that is dead, draining or suspect.
+func planReplacement(now time.Time, disks []Disk, d *Disk) Verdict {
 	if !d.replaceable(now) {
 		return Verdict{Reason: VoterSuspect, Voter: d.Entry}
 	}
-	spare, ok := pick(now, disks, d.Entry)
+	spare, ok := pickSpare(now, disks, d.Entry)
 	switch {
 	case !ok && d.Liveness == Draining:
-		// It votes until it stops, and returns with its disk.
+		// The voter votes until it stops, and returns with its disk.
 		return Verdict{Reason: Healthy}
 	case !ok:
 		return Verdict{Reason: NoSpare, Voter: d.Entry}
@@ -198,31 +201,31 @@
 	return Verdict{VoterDead, d.Entry, Action{Old: d.Entry, New: spare, Cause: "the voter is dead"}}
 }
 
-// spread has a voter of a zone that holds a majority of them give its place to a spare
-// disk of another zone. Replacements take the spare disks that there are, and so may
-// gather in one zone.
-func spread(now time.Time, disks []Disk) Verdict {
+// planSpread replaces a voter of a zone that holds a majority of the voters by a spare
+// disk of another zone. Replacements take any available spare disk, so voters may
+// accumulate in one zone.
+func planSpread(now time.Time, disks []Disk) Verdict {
 	inZone := votersInZones(disks, "")
 	for _, d := range disks {
-		if !d.Voter || !majority(inZone[d.Zone], count(disks)) {
+		if !d.Voter || !isMajority(inZone[d.Zone], countVoters(disks)) {
 			continue
 		}
-		spare, ok := pick(now, disks, d.Entry)
+		spare, ok := pickSpare(now, disks, d.Entry)
 		if !ok {
 			continue
 		}
 		i := slices.IndexFunc(disks, func(x Disk) bool { return x.Entry == spare })
-		if zone := disks[i].Zone; zone != d.Zone && !majority(inZone[zone]+1, count(disks)) {
+		if zone := disks[i].Zone; zone != d.Zone && !isMajority(inZone[zone]+1, countVoters(disks)) {
 			return Verdict{ZoneMajority, d.Entry, Action{Old: d.Entry, New: spare, Cause: "one availability zone holds a majority of the voters"}}
 		}
 	}
 	return Verdict{Reason: Healthy}
 }
 
-func majority(n, of int) bool { return n > 1 && 2*n > of }
+func isMajority(n, of int) bool { return n > 1 && 2*n > of }
 
-// Order lists who carries out the change, first to last: a voter that stops as planned
-// its own replacement, and then those that vote, by name.
+// Order lists the entries that may carry out the change, first to last: a draining voter
+// carries out its own replacement, followed by the other voters by name.
 func Order(disks []Disk, v *Verdict) []job.EntryID {
 	var order []job.EntryID
 	for _, d := range disks {
@@ -242,7 +245,7 @@
 	return order
 }
 
-func count(disks []Disk) int {
+func countVoters(disks []Disk) int {
 	n := 0
 	for _, d := range disks {
 		if d.Voter {
@@ -252,10 +255,10 @@
 	return n
 }
 
-// pick returns the spare disk in the zone with the fewest voters other than
-// without, so that the loss of one zone takes as few as possible.
-func pick(now time.Time, disks []Disk, without job.EntryID) (job.EntryID, bool) {
-	inZone := votersInZones(disks, without)
+// pickSpare returns the spare disk in the zone with the fewest voters, not counting
+// except, so that the loss of one zone removes as few voters as possible.
+func pickSpare(now time.Time, disks []Disk, except job.EntryID) (job.EntryID, bool) {
+	inZone := votersInZones(disks, except)
 	var best *Disk
 	for i := range disks {
 		d := &disks[i]
@@ -272,11 +275,11 @@
 	return best.Entry, true
 }
 
-// votersInZones counts the voters other than without.
-func votersInZones(disks []Disk, without job.EntryID) map[job.Zone]int {
+// votersInZones counts the voters of each zone, not counting except.
+func votersInZones(disks []Disk, except job.EntryID) map[job.Zone]int {
 	inZone := map[job.Zone]int{}
 	for _, d := range disks {
-		if d.Voter && d.Entry != without {
+		if d.Voter && d.Entry != except {
 			inZone[d.Zone]++
 		}
 	}
--- a/internal/policy/voters/voters_test.go
+++ b/internal/policy/voters/voters_test.go
@@ -38,9 +38,9 @@
 	return d
 }
 
-// Disks are lost, VMs are restarted, replaced for good and added. The set must be
-// mended before the next loss, and must not move for a VM that is only away for
-// moments.
+// Disks are lost, and VMs are restarted, replaced permanently or added. The set must be
+// repaired before the next loss, and must not change for a VM that is only away for a
+// moment.
 func TestPlan(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -48,23 +48,23 @@
 		want     int
 		old, new job.EntryID
 	}{
-		{"all is well", []Disk{alive("a", "x", true), alive("b", "y", true), alive("c", "z", true)}, 3, "", ""},
-		{"an emptied disk is given its place back", []Disk{alive("a", "x", true), foreign(alive("b", "y", true)), alive("c", "z", true)}, 3, "b", "b"},
-		{"a voter that is silent and not declared dead keeps its place", []Disk{alive("a", "x", true), suspect("b", "y", time.Minute), alive("c", "z", true), alive("d", "y", false)}, 3, "", ""},
-		{"one whose process was restarted at once, too", []Disk{alive("a", "x", true), dead("b", "y", AwayTime-1), alive("c", "z", true), alive("d", "y", false)}, 3, "", ""},
-		{"one that is dead is replaced before the next loss", []Disk{alive("a", "x", true), dead("b", "y", AwayTime), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
-		{"one that has stopped as planned, at once", []Disk{alive("a", "x", true), stopped(alive("b", "y", true)), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
-		{"one that is about to stop, before it does", []Disk{alive("a", "x", true), draining(alive("b", "y", true)), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
-		{"after one that is dead", []Disk{draining(alive("a", "x", true)), dead("b", "y", time.Minute), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
-		{"and keeps its place where no disk is spare", []Disk{alive("a", "x", true), draining(alive("b", "y", true)), alive("c", "z", true)}, 3, "", ""},
-		{"by a disk of a zone without a voter, if there is one", []Disk{alive("a", "x", true), dead("b", "y", time.Minute), alive("c", "z", true), alive("d", "z", false), alive("e", "y", false)}, 3, "b", "e"},
-		{"without a spare disk nothing is done", []Disk{alive("a", "x", true), dead("b", "y", time.Minute), alive("c", "z", true)}, 3, "", ""},
-		{"a spare that was just met is not taken", []Disk{alive("a", "x", true), dead("b", "y", time.Minute), alive("c", "z", true), {Entry: "d", Zone: "y", Liveness: Alive, Since: now}}, 3, "", ""},
-		{"nor one that is about to stop", []Disk{alive("a", "x", true), dead("b", "y", time.Minute), alive("c", "z", true), draining(alive("d", "z", false))}, 3, "", ""},
-		{"a zone gives up its majority", []Disk{alive("a", "x", true), alive("b", "x", true), alive("c", "z", true), alive("d", "y", false)}, 3, "a", "d"},
-		{"but not to another one", []Disk{alive("a", "x", true), alive("b", "x", true), alive("c", "z", true), alive("d", "z", false)}, 3, "", ""},
-		{"the set is widened, one zone after the other", []Disk{alive("a", "x", true), alive("b", "y", true), alive("c", "z", true), alive("d", "x", false), alive("e", "w", false)}, 5, "", "e"},
-		{"and no further than asked", []Disk{alive("a", "x", true), alive("b", "y", true), alive("c", "z", true), alive("d", "x", false)}, 3, "", ""},
+		{"a healthy set stays unchanged", []Disk{alive("a", "x", true), alive("b", "y", true), alive("c", "z", true)}, 3, "", ""},
+		{"a voter with an emptied disk replaces itself", []Disk{alive("a", "x", true), foreign(alive("b", "y", true)), alive("c", "z", true)}, 3, "b", "b"},
+		{"an unresponsive voter that was not declared dead stays", []Disk{alive("a", "x", true), suspect("b", "y", time.Minute), alive("c", "z", true), alive("d", "y", false)}, 3, "", ""},
+		{"a voter whose process was restarted immediately stays", []Disk{alive("a", "x", true), dead("b", "y", AwayTime-1), alive("c", "z", true), alive("d", "y", false)}, 3, "", ""},
+		{"a dead voter is replaced before the next loss", []Disk{alive("a", "x", true), dead("b", "y", AwayTime), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
+		{"a voter that stopped as planned is replaced immediately", []Disk{alive("a", "x", true), stopped(alive("b", "y", true)), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
+		{"a draining voter is replaced before it stops", []Disk{alive("a", "x", true), draining(alive("b", "y", true)), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
+		{"a dead voter is replaced before a draining one", []Disk{draining(alive("a", "x", true)), dead("b", "y", time.Minute), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
+		{"a draining voter stays if there is no spare disk", []Disk{alive("a", "x", true), draining(alive("b", "y", true)), alive("c", "z", true)}, 3, "", ""},
+		{"a spare disk in a zone without a voter is preferred", []Disk{alive("a", "x", true), dead("b", "y", time.Minute), alive("c", "z", true), alive("d", "z", false), alive("e", "y", false)}, 3, "b", "e"},
+		{"a dead voter stays if there is no spare disk", []Disk{alive("a", "x", true), dead("b", "y", time.Minute), alive("c", "z", true)}, 3, "", ""},
+		{"a spare disk that was just discovered is not eligible", []Disk{alive("a", "x", true), dead("b", "y", time.Minute), alive("c", "z", true), {Entry: "d", Zone: "y", Liveness: Alive, Since: now}}, 3, "", ""},
+		{"a draining spare disk is not eligible", []Disk{alive("a", "x", true), dead("b", "y", time.Minute), alive("c", "z", true), draining(alive("d", "z", false))}, 3, "", ""},
+		{"a zone with a majority loses one voter", []Disk{alive("a", "x", true), alive("b", "x", true), alive("c", "z", true), alive("d", "y", false)}, 3, "a", "d"},
+		{"a zone that would get the majority is not eligible", []Disk{alive("a", "x", true), alive("b", "x", true), alive("c", "z", true), alive("d", "z", false)}, 3, "", ""},
+		{"a voter is added in the zone with the fewest voters", []Disk{alive("a", "x", true), alive("b", "y", true), alive("c", "z", true), alive("d", "x", false), alive("e", "w", false)}, 5, "", "e"},
+		{"no voter is added beyond the required number", []Disk{alive("a", "x", true), alive("b", "y", true), alive("c", "z", true), alive("d", "x", false)}, 3, "", ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -76,9 +76,9 @@
 	}
 }
 
-// Whoever is on call must be able to tell a voter that is waited for from one that no
+// Operators must be able to distinguish a voter that may still return from one that no
 // spare disk can replace.
-func TestPlanSaysWhyNothingIsDue(t *testing.T) {
+func TestPlanExplainsWhyNoChangeIsDue(t *testing.T) {
 	b, c := alive("b", "y", true), alive("c", "z", true)
 	cases := []struct {
 		disks  []Disk
@@ -97,8 +97,9 @@
 	}
 }
 
-// Guards against a change that nobody carries out because the first in order can't.
-func TestOrderOfThoseWhoAct(t *testing.T) {
+// Guards against a change that is never carried out because the first entry in order is
+// unable to.
+func TestOrderListsOnlyVotersAbleToAct(t *testing.T) {
 	disks := []Disk{foreign(alive("a", "x", true)), alive("b", "y", true), draining(alive("c", "z", true)), dead("d", "x", 0), alive("e", "y", false)}
 	qt.Check(t, Order(disks, &Verdict{Reason: DiskLost, Voter: "a"}), qt.DeepEquals, []job.EntryID{"b", "c"})
 	qt.Check(t, Order(disks, &Verdict{Reason: VoterDraining, Voter: "c"}), qt.DeepEquals, []job.EntryID{"c", "b"})
