--- a/internal/policy/watch/watch.go
+++ b/internal/policy/watch/watch.go
@@ -1,18 +1,21 @@
-// Package watch decides which entries of a fleet exchange heartbeats for their own sake.
+// Package watch decides which entries of a fleet exchange heartbeats to monitor each
+// other.
 //
-// Load pattern: a fleet of hundreds of entries in a handful of availability zones, each on
-// a fraction of a processor and a thin link. If each watched all others, heartbeats would
-// grow with the square of the fleet; at 150 entries they took more processor than the
-// work. So each entry watches a few, whose number does not grow, and what they find is told
-// to the rest:
+// Load pattern: a fleet has hundreds of entries in a handful of availability zones, each
+// on a fraction of a processor and a link of low bandwidth. If each entry watched all
+// others, heartbeats would grow with the square of the fleet; at 150 entries they took
+// more processor time than the actual work. So each entry watches a few others, whose
+// number does not grow with the fleet, and reports what it finds to the rest:
 //
-//   - ring neighbours: the entries of its zone that stand next to it in an order by hash,
-//     on both sides. Each entry is so watched by as many others of its zone, who reach it
-//     over the shortest way, and one that comes or goes changes the neighbours of a few.
-//   - contacts: one entry of each other zone, drawn by hash, over which news cross zones.
+//   - ring neighbours: the entries of its zone next to it, on both sides, in a ring
+//     ordered by hash. So each entry is watched by equally many entries of its zone over
+//     the shortest network path, and an entry that joins or leaves changes the
+//     neighbours of only a few.
+//   - contacts: one entry of each other zone, chosen by hash, through which updates
+//     cross zones.
 //
-// A small fleet watches everybody: that costs little, and a death is noticed by each entry
-// itself.
+// In a small fleet each entry watches all others: that costs little, and each entry
+// detects a failure by itself.
 package watch
 
 import (
@@ -25,50 +28,53 @@
 )
 
 const (
-	// Everybody is up to how many others an entry watches all. At 24, four heartbeats a
-	// second to each of them are a tenth of a VM of 0.192 of a core, both directions.
+	// Everybody is the number of other entries up to which an entry watches all of them.
+	// At 24, four heartbeats per second to each of them take a tenth of a VM with 0.192
+	// of a core, counting both directions.
 	Everybody = 24
-	// RingSide is how many ring neighbours an entry watches on each side: each entry
-	// has then four watchers, of which two may be lost or cut off at the same moment.
+	// RingSide is how many ring neighbours an entry watches on each side: each entry then
+	// has four watchers, of which two may be lost or unreachable at the same time.
 	RingSide = 2
 )
 
-// Member is one entry as the deciding one sees it.
+// Member is one entry as seen by the entry that chooses.
 type Member struct {
 	Entry job.EntryID
 	Zone  job.Zone
-	// Live says that it is not known to have ended.
+	// Live says that the entry is not known to have ended.
 	Live bool
 }
 
-// Set is whom an entry watches.
+// Set lists the entries that an entry watches.
 type Set struct {
-	// All says that the fleet is small and everybody is watched; the lists are empty then.
+	// All says that the fleet is small and that all entries are watched; the lists are
+	// empty then.
 	All bool
-	// Ring are the neighbours in the own zone, nearest first; Contacts one entry of each
-	// other zone, in the order of the zones.
+	// Ring are the neighbours in the entry's own zone, nearest first; Contacts are one
+	// entry of each other zone, in the order of the zones.
 	Ring, Contacts []job.EntryID
 }
 
-// Choose returns whom the entry self watches. members lists the fleet, self included.
+// Choose returns the entries that self watches. members lists the fleet, including self.
 func Choose(self job.EntryID, zone job.Zone, members []Member) Set {
 	if len(members)-1 <= Everybody {
 		return Set{All: true}
 	}
-	return Set{Ring: Ring(self, zone, members), Contacts: contacts(self, zone, members)}
+	return Set{Ring: Ring(self, zone, members), Contacts: chooseContacts(self, zone, members)}
 }
 
-// Ring returns the ring neighbours of an entry: who watches it, whoever asks. The members
-// that have ended are left out, so that the ring closes over a gap.
+// Ring returns the ring neighbours of an entry, which are also the entries that watch it.
+// The result is the same whichever entry computes it. Ended members are left out, so that
+// the ring has no gaps.
 func Ring(of job.EntryID, zone job.Zone, members []Member) []job.EntryID {
-	ring := make([]placed, 0, len(members))
+	ring := make([]ringMember, 0, len(members))
 	for _, m := range members {
 		if m.Zone == zone && (m.Live || m.Entry == of) {
-			ring = append(ring, placed{m.Entry, xxhash.Sum64String(string(m.Entry))})
+			ring = append(ring, ringMember{m.Entry, xxhash.Sum64String(string(m.Entry))})
 		}
 	}
-	slices.SortFunc(ring, placed.compare)
-	at := slices.IndexFunc(ring, func(p placed) bool { return p.entry == of })
+	slices.SortFunc(ring, ringMember.compare)
+	at := slices.IndexFunc(ring, func(p ringMember) bool { return p.entry == of })
 	if at < 0 {
 		return nil
 	}
@@ -84,27 +90,28 @@
 	return out
 }
 
-// placed is an entry with its place in an order by hash.
-type placed struct {
+// ringMember is an entry with its hash, which determines its position in the ring.
+type ringMember struct {
 	entry job.EntryID
-	place uint64
+	hash  uint64
 }
 
-func (p placed) compare(other placed) int {
-	return cmp.Or(cmp.Compare(p.place, other.place), cmp.Compare(p.entry, other.entry))
+func (p ringMember) compare(other ringMember) int {
+	return cmp.Or(cmp.Compare(p.hash, other.hash), cmp.Compare(p.entry, other.entry))
 }
 
-// contacts draws one entry of each other zone. Each entry draws another one, so that a zone
-// is connected to the others by as many links as it has entries. Of a zone of which nobody
-// is known to live one is drawn all the same: the news of its return come over it.
-func contacts(self job.EntryID, zone job.Zone, members []Member) []job.EntryID {
+// chooseContacts chooses one entry of each other zone. Each entry makes its own choice,
+// so that a zone is connected to the others by as many links as it has entries. A zone
+// without any entry known to be alive gets a contact too: the update that it has returned
+// arrives through that contact.
+func chooseContacts(self job.EntryID, zone job.Zone, members []Member) []job.EntryID {
 	best := map[job.Zone]candidate{}
 	for _, m := range members {
 		if m.Zone == zone {
 			continue
 		}
 		c := candidate{m, xxhash.Sum64String(string(self) + "\x00" + string(m.Entry))}
-		if drawn, ok := best[m.Zone]; !ok || c.before(drawn) {
+		if drawn, ok := best[m.Zone]; !ok || c.preferredTo(drawn) {
 			best[m.Zone] = c
 		}
 	}
@@ -126,7 +133,7 @@
 	score  uint64
 }
 
-func (c candidate) before(other candidate) bool {
+func (c candidate) preferredTo(other candidate) bool {
 	if c.member.Live != other.member.Live {
 		return c.member.Live
 	}
--- a/internal/policy/watch/watch_test.go
+++ b/internal/policy/watch/watch_test.go
@@ -10,7 +10,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// fleet returns so many entries in so many zones.
+// fleet returns the given number of entries, spread over the given number of zones.
 func fleet(entries, zones int) []Member {
 	out := make([]Member, entries)
 	for i := range out {
@@ -20,8 +20,8 @@
 	return out
 }
 
-// Guards against heartbeats that grow with the fleet.
-func TestWatchedDoNotGrowWithTheFleet(t *testing.T) {
+// Guards against heartbeat traffic that grows with the fleet.
+func TestWatchedEntriesDoNotGrowWithFleet(t *testing.T) {
 	const zones = 5
 	for _, entries := range []int{50, 152, 300, 1000} {
 		members := fleet(entries, zones)
@@ -41,7 +41,7 @@
 	}
 }
 
-// Guards against a death that nobody of the zone watches for.
+// Guards against the failure of an entry that no entry of its zone watches.
 func TestRingNeighboursWatchEachOther(t *testing.T) {
 	members := fleet(152, 5)
 	for i := range members {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Guards against a loss that changes the links of a whole zone.
+// Guards against the loss of one entry changing the links of a whole zone.
 func TestOneLossChangesFewNeighbours(t *testing.T) {
 	members := fleet(152, 5)
 	before := map[job.EntryID][]job.EntryID{}
@@ -76,8 +76,8 @@
 	qt.Assert(t, changed <= 2*RingSide, qt.IsTrue, qt.Commentf("%d changed", changed))
 }
 
-// Guards against zones that lose all links to each other when one entry is lost, or after a
-// cut in which each called the other one's entries dead.
+// Guards against zones that lose all links to each other when one entry is lost, or after
+// a partition in which each side declared the other side's entries dead.
 func TestZonesStayConnected(t *testing.T) {
 	members := fleet(40, 2)
 	contacts := map[job.EntryID]bool{}
@@ -93,7 +93,7 @@
 	qt.Assert(t, Choose(members[0].Entry, "z0", members).Contacts, qt.HasLen, 1)
 }
 
-func TestSmallFleetsWatchEverybody(t *testing.T) {
+func TestSmallFleetWatchesAllEntries(t *testing.T) {
 	qt.Assert(t, Choose("edge-z0-0", "z0", fleet(Everybody+1, 5)).All, qt.IsTrue)
 	qt.Assert(t, Choose("edge-z0-0", "z0", fleet(Everybody+2, 5)).All, qt.IsFalse)
 	qt.Assert(t, Ring("edge-z0-0", "z0", fleet(10, 5)), qt.DeepEquals, []job.EntryID{"edge-z0-1"})
