--- a/internal/policy/ownership/model_steps_test.go
+++ b/internal/policy/ownership/model_steps_test.go
@@ -2,413 +2,415 @@
 
 import "time"
 
-// timePasses names the step of time.
+// timePasses is the action of advancing time by a step.
 const timePasses = "time passes"
 
 // Next implements explore.Model.
 func (s system) Next(w world, visit func(string, world)) {
-	say := func(action string, n world) { visit(action, s.canonical(n)) }
-	if s.mayPass(w) {
-		say(timePasses, s.pass(w))
+	visitCanonical := func(action string, n world) { visit(action, s.canonical(n)) }
+	if s.timeMayPass(w) {
+		visitCanonical(timePasses, s.passTime(w))
 	}
-	s.pauses(w, say)
-	s.link(w, say)
-	s.caller(w, say)
-	if !w.ownerStill {
-		s.owner(w, say)
+	s.pauseActions(w, visitCanonical)
+	s.linkActions(w, visitCanonical)
+	s.callerActions(w, visitCanonical)
+	if !w.ownerPaused {
+		s.ownerActions(w, visitCanonical)
 	}
-	if !w.holderStill {
-		s.holder(w, say)
+	if !w.holderPaused {
+		s.holderActions(w, visitCanonical)
 	}
-	if !w.ownerStill && !w.holderStill && s.hear(&w) {
-		say("they hear each other", w)
+	if !w.ownerPaused && !w.holderPaused && s.exchangeHeartbeats(&w) {
+		visitCanonical("both entries receive heartbeats", w)
 	}
 }
 
-// mayPass holds time back until what must happen in time has.
-func (s system) mayPass(w world) bool {
-	stands := !w.cut && !w.holderStill
+// timeMayPass reports whether time may pass: not while an event is due at this step at
+// the latest.
+func (s system) timeMayPass(w world) bool {
+	delivers := !w.partitioned && !w.holderPaused
 	switch {
-	case w.cancel == underWay && stands:
+	case w.cancel == cancelInFlight && delivers:
 		return false
-	case w.offer >= 0 && w.cuts == s.cuts && stands && !s.has(anyAge):
+	case w.offer >= 0 && w.partitions == s.partitions && delivers && !s.has(anyProofAge):
 		return false
-	case w.ownerStill:
+	case w.ownerPaused:
 		return true
-	case w.unread && w.ran >= readSteps:
+	case w.unread && w.ranUnread >= readSteps:
 		return false
-	case w.lost >= 0 && !w.ended && w.aware >= waySteps:
+	case w.sinceLoss >= 0 && !w.ended && w.ranSinceLoss >= hangUpSteps:
 		return false
-	case w.cancel == lostOnItsWay && !s.has(cancelledOnce) && w.mended >= triesSteps && w.lasts >= againSteps:
+	case w.cancel == cancelLost && !s.has(noCancelRetry) && w.linkUpFor >= cancelRetrySteps && w.sinceCancel >= offerRetrySteps:
 		return false
 	}
 	return true
 }
 
-// speaks says whether the owner gives proofs to the holder.
-func (s system) speaks(w *world) bool {
-	told := !w.ended || w.cancel == confirmed || w.cancel == lostOnItsWay && s.has(spokenBeside)
-	return s.hasRead(w) && told
+// sendsProofs reports whether the owner sends proofs to the holder.
+func (s system) sendsProofs(w *world) bool {
+	holderKnows := !w.ended || w.cancel == cancelConfirmed || w.cancel == cancelLost && s.has(proofBeforeConfirm)
+	return s.hasReadBacklog(w) && holderKnows
 }
 
-// hasRead says whether the owner has read what came while it stood still, so that it may
-// say that it is alive.
-func (s system) hasRead(w *world) bool {
-	return !w.ownerStill && (w.awake > waySteps || s.has(spokenAtOnce))
+// hasReadBacklog reports whether the owner has read the messages that arrived during its
+// pause, so that it may send proofs.
+func (s system) hasReadBacklog(w *world) bool {
+	return !w.ownerPaused && (w.ranSinceResume > hangUpSteps || s.has(proofBeforeRead))
 }
 
 func aged(age int8) int8 {
 	if age < 0 {
 		return age
 	}
-	return min(age+1, old)
+	return min(age+1, maxAge)
 }
 
-func less(left int8) int8 { return max(left-1, none) }
+func countDown(left int8) int8 { return max(left-1, none) }
 
-// pass lets a step of time pass, in which whoever runs does what it always does.
-func (s system) pass(w world) world {
-	w.reading, w.toOwner, w.toHolder, w.offer = aged(w.reading), aged(w.toOwner), aged(w.toHolder), aged(w.offer)
-	w.own.proof, w.own.first, w.heard.proof, w.heard.first = aged(w.own.proof), aged(w.own.first), aged(w.heard.proof), aged(w.heard.first)
-	w.held, w.local = less(w.held), less(w.local)
-	if w.lost >= 0 {
-		w.lost = min(w.lost+1, turnSteps)
-		w.elsewhere = w.lost == turnSteps
-	}
-	if w.ended && !w.ownerStill {
-		w.lasts = min(w.lasts+1, againSteps)
-	}
-	if w.cancel == lostOnItsWay && !w.cut && !w.ownerStill {
-		w.mended = min(w.mended+1, triesSteps)
-	}
-	w.stay = less(w.stay)
-	s.sends(&w)
-	if !w.ownerStill {
-		w.awake = min(w.awake+1, waySteps+1)
-		s.ownerRuns(&w)
-	}
-	if !w.holderStill {
-		s.holderRuns(&w)
+// passTime advances time by a step, in which each running entry does its periodic work.
+func (s system) passTime(w world) world {
+	w.clockReading, w.toOwner, w.toHolder, w.offer = aged(w.clockReading), aged(w.toOwner), aged(w.toHolder), aged(w.offer)
+	w.ownerLease.proof, w.ownerLease.firstProof, w.holderLease.proof, w.holderLease.firstProof = aged(w.ownerLease.proof), aged(w.ownerLease.firstProof), aged(w.holderLease.proof), aged(w.holderLease.firstProof)
+	w.holderRunLeft, w.ownerRunLeft = countDown(w.holderRunLeft), countDown(w.ownerRunLeft)
+	if w.sinceLoss >= 0 {
+		w.sinceLoss = min(w.sinceLoss+1, resubmitSteps)
+		w.runsElsewhere = w.sinceLoss == resubmitSteps
+	}
+	if w.ended && !w.ownerPaused {
+		w.sinceCancel = min(w.sinceCancel+1, offerRetrySteps)
+	}
+	if w.cancel == cancelLost && !w.partitioned && !w.ownerPaused {
+		w.linkUpFor = min(w.linkUpFor+1, cancelRetrySteps)
+	}
+	w.cancelledRunLeft = countDown(w.cancelledRunLeft)
+	s.sendHeartbeats(&w)
+	if !w.ownerPaused {
+		w.ranSinceResume = min(w.ranSinceResume+1, hangUpSteps+1)
+		s.ownerTick(&w)
+	}
+	if !w.holderPaused {
+		s.holderTick(&w)
 	}
 	return w
 }
 
-// sends has whoever runs send a heartbeat to the other one; a cancellation that is under
-// way is not overtaken.
-func (s system) sends(w *world) {
-	if w.cut {
+// sendHeartbeats lets each running entry send a heartbeat to the other; heartbeats do not
+// overtake a cancellation in flight.
+func (s system) sendHeartbeats(w *world) {
+	if w.partitioned {
 		return
 	}
-	if !w.holderStill {
+	if !w.holderPaused {
 		w.toOwner = 0
 	}
-	if s.speaks(w) {
-		w.toHolder = w.reading
+	if s.sendsProofs(w) {
+		w.toHolder = w.clockReading
 	}
-	if !w.ownerStill && !w.holderStill {
-		s.hear(w)
+	if !w.ownerPaused && !w.holderPaused {
+		s.exchangeHeartbeats(w)
 	}
 }
 
-// hear has both read what the other one sends now, and says whether they can.
-func (s system) hear(w *world) bool {
-	if w.cut || w.cancel == underWay {
+// exchangeHeartbeats lets both entries receive what the other one sends now, and reports
+// whether the link allows it.
+func (s system) exchangeHeartbeats(w *world) bool {
+	if w.partitioned || w.cancel == cancelInFlight {
 		return false
 	}
-	w.reading, w.toOwner = 0, none
-	if s.speaks(w) {
+	w.clockReading, w.toOwner = 0, none
+	if s.sendsProofs(w) {
 		w.toHolder = none
-		s.heartbeat(w, 0)
+		s.receiveProof(w, 0)
 	}
 	return true
 }
 
-// heartbeat gives the holder the proof of a heartbeat.
-func (s system) heartbeat(w *world, proof int8) {
+// receiveProof applies the proof of a heartbeat at the holder.
+func (s system) receiveProof(w *world, proof int8) {
 	if w.hasBatch {
-		s.renew(&w.heard, proof)
+		s.renew(&w.holderLease, proof)
 		return
 	}
-	s.take(w, proof)
+	s.acceptProof(w, proof)
 }
 
-// ownerRuns is what the owner does at each look.
-func (s system) ownerRuns(w *world) {
+// ownerTick is the owner's periodic work.
+func (s system) ownerTick(w *world) {
 	if w.toOwner >= 0 {
-		w.reading, w.toOwner = min(w.reading, w.toOwner), none
+		w.clockReading, w.toOwner = min(w.clockReading, w.toOwner), none
 	}
-	if w.lost >= 0 {
-		w.aware = min(w.aware+1, waySteps)
+	if w.sinceLoss >= 0 {
+		w.ranSinceLoss = min(w.ranSinceLoss+1, hangUpSteps)
 	}
-	if s.hasRead(w) {
-		s.ownLook(w)
+	if s.hasReadBacklog(w) {
+		s.renewOwnerLease(w)
 	}
-	if w.ended && w.local < 0 {
+	if w.ended && w.ownerRunLeft < 0 {
 		return
 	}
 	if w.unread {
-		w.ran = min(w.ran+1, readSteps)
+		w.ranUnread = min(w.ranUnread+1, readSteps)
 		return
 	}
-	if w.gaveUp || w.ended {
-		s.runsAlone(w)
+	if w.abandonedHolder || w.ended {
+		s.runAtOwner(w)
 	}
 }
 
-// ownLook has the owner prove to itself that it runs, as internal/entry does.
-func (s system) ownLook(w *world) {
+// renewOwnerLease lets the owner prove to itself that it runs, as internal/entry does.
+func (s system) renewOwnerLease(w *world) {
 	if !w.unread {
-		s.renew(&w.own, 0)
+		s.renew(&w.ownerLease, 0)
 		return
 	}
-	gap := time.Duration(w.own.proof) * step
-	t := table(w.own, true)
+	gap := time.Duration(w.ownerLease.proof) * step
+	t := newTable(w.ownerLease, true)
 	before := t.leases[owner]
 	t.Sweep(now)
 	after := t.Renew(now, owner, now)
-	w.own = modelled(after)
-	u := Unread{left: time.Duration(w.window) * step}
+	w.ownerLease = fromLease(after)
+	u := Unread{left: time.Duration(w.backlogLeft) * step}
 	u.Ran(gap)
 	if after.Resumed() && after != before {
 		u.Paused()
 	}
-	w.window = int8(u.left / step)
+	w.backlogLeft = int8(u.left / step)
 }
 
-// holderRuns is what the holder does at each look.
-func (s system) holderRuns(w *world) {
+// holderTick is the holder's periodic work.
+func (s system) holderTick(w *world) {
 	if w.toHolder >= 0 {
-		s.heartbeat(w, w.toHolder)
+		s.receiveProof(w, w.toHolder)
 		w.toHolder = none
 	}
 	if !w.hasBatch {
 		return
 	}
-	s.look(&w.heard)
-	s.starts(w)
-	if w.heard.over {
-		w.heard.proof = 0
+	s.inEffect(&w.holderLease)
+	s.runAtHolder(w)
+	if w.holderLease.expired {
+		w.holderLease.proof = 0
 	}
 }
 
-// starts has the holder run the task, or renew the lease of its run.
-func (s system) starts(w *world) {
-	w.held = s.goesOn(w.held, &w.heard, w.cancel == confirmed, w.stay)
+// runAtHolder lets the holder run the task, or renew the target's lease of its run.
+func (s system) runAtHolder(w *world) {
+	w.holderRunLeft = s.renewedRun(w.holderRunLeft, &w.holderLease, w.cancel == cancelConfirmed, w.cancelledRunLeft)
 }
 
-// runsAlone is the same at the owner.
-func (s system) runsAlone(w *world) {
-	w.local = s.goesOn(w.local, &w.own, w.ended, w.stay)
+// runAtOwner does the same at the owner.
+func (s system) runAtOwner(w *world) {
+	w.ownerRunLeft = s.renewedRun(w.ownerRunLeft, &w.ownerLease, w.ended, w.cancelledRunLeft)
 }
 
-// goesOn is what is left of a run that is renewed now, or started where there is none. A
-// lease that ran out starts nothing; a run that is there goes on to its bound. One that
-// was taken back, and whose stop was lost, has the bound of stops too.
-func (s system) goesOn(run int8, l *lease, takenBack bool, stay int8) int8 {
-	forgotten := l.over
+// renewedRun returns the time left of a run that is renewed now, or started if there is
+// none. An expired lease starts nothing; an existing run continues up to its bound. A
+// cancelled run whose stop was lost is limited by the stop bound too.
+func (s system) renewedRun(run int8, l *lease, cancelled bool, cancelledRunLeft int8) int8 {
+	dropped := l.expired
 	switch {
-	case takenBack && (run < 0 || forgotten):
+	case cancelled && (run < 0 || dropped):
 		return run
-	case takenBack:
-		return max(run, min(stay, s.left(*l)))
-	case s.holds(l) || run >= 0 && !forgotten:
-		return max(run, s.left(*l))
+	case cancelled:
+		return max(run, min(cancelledRunLeft, s.leaseLeft(*l)))
+	case s.holds(l) || run >= 0 && !dropped:
+		return max(run, s.leaseLeft(*l))
 	}
 	return run
 }
 
-// pauses are those of the entries.
-func (s system) pauses(w world, visit func(string, world)) {
-	if w.ownerStill {
+// pauseActions are the pauses and resumes of both entries.
+func (s system) pauseActions(w world, visit func(string, world)) {
+	if w.ownerPaused {
 		n := w
-		n.ownerStill = false
-		visit("the owner goes on", n)
+		n.ownerPaused = false
+		visit("the owner resumes", n)
 	} else if w.ownerPauses > 0 {
 		n := w
-		n.ownerStill, n.aware, n.awake, n.ownerPauses = true, 0, 0, w.ownerPauses-1
-		visit("the owner stands still", n)
+		n.ownerPaused, n.ranSinceLoss, n.ranSinceResume, n.ownerPauses = true, 0, 0, w.ownerPauses-1
+		visit("the owner pauses", n)
 	}
-	if w.holderStill {
+	if w.holderPaused {
 		n := w
-		n.holderStill = false
-		visit("the holder goes on", n)
+		n.holderPaused = false
+		visit("the holder resumes", n)
 	} else if w.holderPauses > 0 {
 		n := w
-		n.holderStill, n.holderPauses = true, w.holderPauses-1
-		visit("the holder stands still", n)
+		n.holderPaused, n.holderPauses = true, w.holderPauses-1
+		visit("the holder pauses", n)
 	}
 }
 
-// link cuts and mends the link. What was under way arrives later, or never; a
-// cancellation is lost, or held up.
-func (s system) link(w world, visit func(string, world)) {
+// linkActions partitions and restores the link. Messages in flight arrive later or never;
+// a cancellation is lost or delayed.
+func (s system) linkActions(w world, visit func(string, world)) {
 	switch {
-	case w.cut:
+	case w.partitioned:
 		n := w
-		n.cut, n.mended = false, 0
-		visit("the link stands again", n)
-	case w.cuts > 0:
+		n.partitioned, n.linkUpFor = false, 0
+		visit("the link is restored", n)
+	case w.partitions > 0:
 		n := w
-		n.cut, n.cuts = true, w.cuts-1
-		visit("the link holds messages up", n)
-		if n.cancel == underWay {
-			n.cancel = lostOnItsWay
+		n.partitioned, n.partitions = true, w.partitions-1
+		visit("the link delays messages", n)
+		if n.cancel == cancelInFlight {
+			n.cancel = cancelLost
 			visit("the link breaks", n)
 		}
 	}
 }
 
-func (s system) caller(w world, visit func(string, world)) {
-	if w.lost == none {
+func (s system) callerActions(w world, visit func(string, world)) {
+	if w.sinceLoss == none {
 		n := w
-		n.lost, n.aware = 0, 0
+		n.sinceLoss, n.ranSinceLoss = 0, 0
 		visit("the caller loses the owner", n)
 	}
 }
 
-func (s system) owner(w world, visit func(string, world)) {
+func (s system) ownerActions(w world, visit func(string, world)) {
 	if w.toOwner >= 0 {
 		n := w
-		n.reading, n.toOwner = min(w.reading, w.toOwner), none
+		n.clockReading, n.toOwner = min(w.clockReading, w.toOwner), none
 		visit("the owner reads a heartbeat", n)
 	}
-	if w.lost >= 0 && !w.ended && w.aware >= waySteps {
-		visit("the owner notices the hang-up and takes the job back", s.takenBack(w))
+	if w.sinceLoss >= 0 && !w.ended && w.ranSinceLoss >= hangUpSteps {
+		visit("the owner notices the hang-up and cancels the job", s.cancelJob(w))
 	}
-	if w.cancel == lostOnItsWay && !w.cut && !s.has(cancelledOnce) {
+	if w.cancel == cancelLost && !w.partitioned && !s.has(noCancelRetry) {
 		n := w
-		n.cancel = underWay
-		visit("the owner sends the cancellation again", n)
+		n.cancel = cancelInFlight
+		visit("the owner resends the cancellation", n)
 	}
-	s.offers(w, visit)
+	s.offerJob(w, visit)
 	if w.ended {
 		return
 	}
 	if w.unread {
-		s.reads(w, visit)
+		s.readRequest(w, visit)
 		return
 	}
-	s.gotBack(w, visit)
-	if !w.gaveUp && w.reading >= s.giveUpAfter() {
+	s.taskReturned(w, visit)
+	if !w.abandonedHolder && w.clockReading >= s.holderTimeout() {
 		n := w
-		n.gaveUp = true
-		visit("the owner gives the holder up", n)
+		n.abandonedHolder = true
+		visit("the owner abandons the holder", n)
 	}
-	if w.gaveUp {
+	if w.abandonedHolder {
 		n := w
-		s.runsAlone(&n)
+		s.runAtOwner(&n)
 		visit("the owner runs the task itself", n)
 	}
 }
 
-// gotBack has the owner read that the holder refused the offer, or has given the task back
-// since its right is over and so is the run.
-func (s system) gotBack(w world, visit func(string, world)) {
-	over := w.hasBatch && w.heard.over && w.held < 0
-	if w.gaveUp || w.cut || w.holderStill || !over && !w.refused {
+// taskReturned lets the owner learn that the holder refused the offer, or returned the
+// task because its lease expired and its run ended.
+func (s system) taskReturned(w world, visit func(string, world)) {
+	expired := w.hasBatch && w.holderLease.expired && w.holderRunLeft < 0
+	if w.abandonedHolder || w.partitioned || w.holderPaused || !expired && !w.refused {
 		return
 	}
 	n := w
-	n.gaveUp = true
+	n.abandonedHolder = true
 	visit("the owner gets the task back", n)
 }
 
-func (s system) giveUpAfter() int8 {
-	if s.has(hasty) {
+func (s system) holderTimeout() int8 {
+	if s.has(earlyHolderTimeout) {
 		return atLeast(Term)
 	}
-	return giveUpSteps
+	return holderTimeoutSteps
 }
 
-// takenBack ends the owner's part for a caller that hung up.
-func (s system) takenBack(w world) world {
+// cancelJob ends the owner's part because the caller hung up.
+func (s system) cancelJob(w world) world {
 	w.ended, w.unread = true, false
-	s.stopped(&w.local, &w, w.own)
+	s.stopRun(&w.ownerRunLeft, &w, w.ownerLease)
 	switch {
 	case s.unread:
-		w.cancel = confirmed
-	case w.cut:
-		w.cancel = lostOnItsWay
+		w.cancel = cancelConfirmed
+	case w.partitioned:
+		w.cancel = cancelLost
 	default:
-		w.cancel = underWay
+		w.cancel = cancelInFlight
 	}
 	return w
 }
 
-// stopped decides the stop of a run, which may get lost.
-func (s system) stopped(run *int8, w *world, l lease) {
+// stopRun decides to stop a run; the stop may get lost.
+func (s system) stopRun(run *int8, w *world, l lease) {
 	if *run >= 0 && s.lostStops {
-		w.stay = s.longest(*run, l)
+		w.cancelledRunLeft = s.cancelledRunBound(*run, l)
 		return
 	}
 	*run = none
 }
 
-// longest is for how long a run may go on that is taken back now: its right counts as it
-// stands now.
-func (s system) longest(run int8, l lease) int8 {
+// cancelledRunBound returns how long a run that is cancelled now may continue; the lease
+// counts as it is now.
+func (s system) cancelledRunBound(run int8, l lease) int8 {
 	switch {
-	case s.has(movingBound):
-		return staySteps
-	case l.over:
+	case s.has(movingStopBound):
+		return stopBoundSteps
+	case l.expired:
 		return run
 	}
-	return max(run, min(staySteps, atMost(l.real().OverBy().Sub(now))))
+	return max(run, min(stopBoundSteps, atMost(l.real().OverBy().Sub(now))))
 }
 
-// offers has the owner offer the job, also again with a fresher proof.
-func (s system) offers(w world, visit func(string, world)) {
-	ended := w.ended && !s.has(offeredAgain)
-	if !s.hasRead(&w) || ended || w.unread || w.gaveUp || w.hasBatch || w.cut || w.offer >= 0 && w.offer <= w.reading {
+// offerJob lets the owner offer the job, also repeatedly with a more recent proof.
+func (s system) offerJob(w world, visit func(string, world)) {
+	ended := w.ended && !s.has(offerAfterCancel)
+	if !s.hasReadBacklog(&w) || ended || w.unread || w.abandonedHolder || w.hasBatch || w.partitioned || w.offer >= 0 && w.offer <= w.clockReading {
 		return
 	}
 	n := w
-	if w.ended || s.holds(&n.own) {
-		n.offer, n.refused = w.reading, false
+	if w.ended || s.holds(&n.ownerLease) {
+		n.offer, n.refused = w.clockReading, false
 	}
 	visit("the owner offers the job", n)
 }
 
-// reads has the owner read the request that lay in its socket.
-func (s system) reads(w world, visit func(string, world)) {
-	if !s.hasRead(&w) {
+// readRequest lets the owner read the request that lay in its socket.
+func (s system) readRequest(w world, visit func(string, world)) {
+	if !s.hasReadBacklog(&w) {
 		return
 	}
 	n := w
 	n.unread = false
-	u := Unread{left: time.Duration(w.window) * step}
-	fresh := table(w.own, true).Of(now, owner) != nil && !u.Old()
-	if !fresh && !s.has(unreadIsNew) {
-		n.ended, n.cancel = true, confirmed
+	u := Unread{left: time.Duration(w.backlogLeft) * step}
+	fresh := newTable(w.ownerLease, true).Of(now, owner) != nil && !u.Old()
+	if !fresh && !s.has(unreadCountsAsNew) {
+		n.ended, n.cancel = true, cancelConfirmed
 		visit("the owner refuses the request", n)
 		return
 	}
-	visit("the owner takes the request for a new one", n)
+	visit("the owner accepts the request as new", n)
 }
 
-func (s system) holder(w world, visit func(string, world)) {
+func (s system) holderActions(w world, visit func(string, world)) {
 	if w.toHolder >= 0 {
 		n := w
-		s.heartbeat(&n, w.toHolder)
+		s.receiveProof(&n, w.toHolder)
 		n.toHolder = none
 		visit("the holder reads a heartbeat", n)
 	}
-	if w.cancel == underWay {
+	if w.cancel == cancelInFlight {
 		n := w
-		n.cancel = confirmed
-		s.stopped(&n.held, &n, n.heard)
+		n.cancel = cancelConfirmed
+		s.stopRun(&n.holderRunLeft, &n, n.holderLease)
 		visit("the holder reads the cancellation", n)
 	}
 	if w.offer >= 0 {
 		n := w
 		n.offer = none
-		n.hasBatch = s.take(&n, w.offer)
+		n.hasBatch = s.acceptProof(&n, w.offer)
 		n.refused = !n.hasBatch
-		visit("the holder takes the offer", n)
+		visit("the holder accepts or refuses the offer", n)
 	}
-	if w.hasBatch && w.cancel != confirmed {
+	if w.hasBatch && w.cancel != cancelConfirmed {
 		n := w
-		s.starts(&n)
+		s.runAtHolder(&n)
 		visit("the holder starts the task", n)
 	}
 }
--- a/internal/policy/ownership/model_test.go
+++ b/internal/policy/ownership/model_test.go
@@ -12,13 +12,14 @@
 	"github.com/vanillagrade/vanillagrade/internal/explore"
 )
 
-var modelStates = flag.Int("ownership.states", 1_000_000, "states of each scenario of the model")
+var modelStates = flag.Int("ownership.states", 1_000_000, "number of states to explore in each scenario of the model")
 
-// inShort words a report with its trace, in which time that passes is told once.
-func inShort(r explore.Report) string {
+// summarize formats a report with its trace, in which consecutive steps of time are
+// combined.
+func summarize(r explore.Report) string {
 	trace := r.Trace
 	r.Trace = nil
-	lines := []string{fmt.Sprintf("%s; a trace of %d steps", r, len(trace))}
+	lines := []string{fmt.Sprintf("%s; trace of %d steps", r, len(trace))}
 	passed := time.Duration(0)
 	for _, action := range append(trace, "") {
 		if action == timePasses {
@@ -34,7 +35,7 @@
 	return strings.TrimSpace(strings.Join(lines, "\n"))
 }
 
-// exploreWithin explores a scenario and tells what was seen.
+// exploreWithin explores a scenario and logs the result.
 func exploreWithin(t *testing.T, b bounds, m mutation) explore.Report {
 	t.Helper()
 	begun := time.Now()
@@ -45,86 +46,88 @@
 	return r
 }
 
-// An entry stands still, or the link is cut, at any step and for any time, and the caller
-// loses the owner at any step. Whoever acts by what was true before runs the job beside
-// its second run, and its studio is billed twice for one frame.
-func TestNoFaultRunsAJobTwice(t *testing.T) {
+// Entries pause, or the link is partitioned, at any step and for any time, and the caller
+// loses the owner at any step. An entry that acts on outdated state runs the job
+// concurrently with its second run, and the studio is billed twice for one frame.
+func TestSingleFaultRunsNoJobTwice(t *testing.T) {
 	for name, b := range map[string]bounds{
-		"the holder stands still":                             {holderPauses: 1},
-		"the holder stands still twice":                       {holderPauses: 2},
-		"the owner stands still":                              {ownerPauses: 1},
-		"the link is cut and holds messages up":               {cuts: 1},
-		"the stop of a run gets lost":                         {lostStops: true},
-		"a request lies unread in an owner that stands still": {unread: true, ownerPauses: 1},
+		"the holder pauses":                            {holderPauses: 1},
+		"the holder pauses twice":                      {holderPauses: 2},
+		"the owner pauses":                             {ownerPauses: 1},
+		"the link is partitioned and delays messages":  {partitions: 1},
+		"the stop of a run is lost":                    {lostStops: true},
+		"a request lies unread while the owner pauses": {unread: true, ownerPauses: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := exploreWithin(t, b, sound)
-			qt.Assert(t, r.Violation, qt.IsNil, qt.Commentf("%s", inShort(r)))
+			r := exploreWithin(t, b, noMutation)
+			qt.Assert(t, r.Violation, qt.IsNil, qt.Commentf("%s", summarize(r)))
 			qt.Assert(t, r.Complete || raceDivisor > 1, qt.IsTrue)
 		})
 	}
 }
 
-// An entry was silent for less than a term when it is heard again. That renews all rights,
-// though it has not read yet what came meanwhile: that its caller hung up, or that a job
-// was taken back. Then a second fault follows within some tens of milliseconds, such as a
-// VM that goes on in slices has them. What was renewed lasts for a second more, and the
-// caller, who waits for 1.3 s since the hang-up, pays for two runs at a time.
-func TestNoTwoFaultsRunAJobTwice(t *testing.T) {
+// An entry is unresponsive for less than a term and then responds again. That renews all
+// leases, although the entry has not yet read what arrived meanwhile: that its caller
+// hung up, or that a job was cancelled. Then a second fault follows within some tens of
+// milliseconds, as on a VM that resumes in short slices. What was renewed lasts for
+// another second, and the caller, who waits for 1.3 s after the hang-up, pays for two
+// concurrent runs.
+func TestTwoFaultsRunNoJobTwice(t *testing.T) {
 	for name, b := range map[string]bounds{
-		"the owner stands still twice":                              {ownerPauses: 2},
-		"owner and holder stand still":                              {ownerPauses: 1, holderPauses: 1},
-		"the link is cut twice":                                     {cuts: 2},
-		"the link is cut and the owner stands still":                {cuts: 1, ownerPauses: 1},
-		"the link is cut and the holder stands still":               {cuts: 1, holderPauses: 1},
-		"a stop gets lost and the owner stands still":               {lostStops: true, ownerPauses: 1},
-		"a stop gets lost and the holder stands still":              {lostStops: true, holderPauses: 1},
-		"a stop gets lost and the link is cut":                      {lostStops: true, cuts: 1},
-		"a request lies unread in an owner that stands still twice": {unread: true, ownerPauses: 2},
+		"the owner pauses twice":                             {ownerPauses: 2},
+		"owner and holder pause":                             {ownerPauses: 1, holderPauses: 1},
+		"the link is partitioned twice":                      {partitions: 2},
+		"the link is partitioned and the owner pauses":       {partitions: 1, ownerPauses: 1},
+		"the link is partitioned and the holder pauses":      {partitions: 1, holderPauses: 1},
+		"a stop is lost and the owner pauses":                {lostStops: true, ownerPauses: 1},
+		"a stop is lost and the holder pauses":               {lostStops: true, holderPauses: 1},
+		"a stop is lost and the link is partitioned":         {lostStops: true, partitions: 1},
+		"a request lies unread while the owner pauses twice": {unread: true, ownerPauses: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := exploreWithin(t, b, sound)
-			qt.Assert(t, r.Violation, qt.IsNil, qt.Commentf("%s", inShort(r)))
+			r := exploreWithin(t, b, noMutation)
+			qt.Assert(t, r.Violation, qt.IsNil, qt.Commentf("%s", summarize(r)))
 		})
 	}
 }
 
-// Each rule is needed: without it a job runs twice, and the model finds how. Three are
-// second bounds: they matter where the rules of what an owner says are broken too.
-func TestEachRuleOfTheRightIsNeeded(t *testing.T) {
+// Each rule is needed: without it a job runs twice, and the model finds the sequence of
+// events. Three rules are a second line of defence: they matter only where the rules
+// about when an owner sends proofs are broken too.
+func TestEachLeaseRuleIsNeeded(t *testing.T) {
 	for name, seeded := range map[string]struct {
 		bounds
 		mutation
 	}{
-		"a start relies on the last look":                 {bounds{ownerPauses: 1}, noCheckAfterPause | spokenAtOnce},
-		"a proof counts from when it is read":             {bounds{holderPauses: 1}, proofByArrival},
-		"a right that ran out comes back":                 {bounds{holderPauses: 1}, revived},
-		"a target's lease outlasts the right":             {bounds{ownerPauses: 1}, unbounded},
-		"a holder is given up too soon":                   {bounds{holderPauses: 1}, hasty},
-		"an unread request is taken for a new one":        {bounds{unread: true, ownerPauses: 1}, unreadIsNew | spokenAtOnce},
-		"a proof of any age counts beside another lease":  {bounds{holderPauses: 1}, anyAge},
-		"a cancellation is lost with its link":            {bounds{cuts: 1}, cancelledOnce | spokenBeside},
-		"an offer is sent again though it was taken back": {bounds{cuts: 1}, offeredAgain},
-		"an owner gives proofs as soon as it goes on":     {bounds{lostStops: true, ownerPauses: 1}, spokenAtOnce},
-		"an owner gives proofs beside a cancellation":     {bounds{lostStops: true, cuts: 1}, spokenBeside},
-		"later proofs lengthen a run that was taken back": {bounds{lostStops: true, holderPauses: 1}, movingBound},
+		"a start relies on the previous lease check":               {bounds{ownerPauses: 1}, noCheckAfterPause | proofBeforeRead},
+		"a proof counts from when it is read":                      {bounds{holderPauses: 1}, proofByArrival},
+		"an expired lease is revived":                              {bounds{holderPauses: 1}, leaseRevival},
+		"a target's lease outlasts the owner's lease":              {bounds{ownerPauses: 1}, unboundedTargetLease},
+		"a holder is abandoned too early":                          {bounds{holderPauses: 1}, earlyHolderTimeout},
+		"an unread request counts as new":                          {bounds{unread: true, ownerPauses: 1}, unreadCountsAsNew | proofBeforeRead},
+		"a proof of any age counts while a lease is in effect":     {bounds{holderPauses: 1}, anyProofAge},
+		"a cancellation lost with its link is not retried":         {bounds{partitions: 1}, noCancelRetry | proofBeforeConfirm},
+		"an offer is repeated after the job was cancelled":         {bounds{partitions: 1}, offerAfterCancel},
+		"an owner sends proofs as soon as it resumes":              {bounds{lostStops: true, ownerPauses: 1}, proofBeforeRead},
+		"an owner sends proofs before a cancellation is confirmed": {bounds{lostStops: true, partitions: 1}, proofBeforeConfirm},
+		"later proofs extend a cancelled run":                      {bounds{lostStops: true, holderPauses: 1}, movingStopBound},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := exploreWithin(t, seeded.bounds, seeded.mutation)
 			qt.Assert(t, r.Violation, qt.IsNotNil)
-			t.Log(inShort(r))
+			t.Log(summarize(r))
 		})
 	}
 }
 
-// The bounds of the model leave no more room than the ones of the code: rounded to the
-// unsafe side they keep their order.
-func TestStepsKeepTheOrderOfTimes(t *testing.T) {
-	qt.Assert(t, atMost(Over)+waySteps < turnSteps, qt.IsTrue)
-	qt.Assert(t, atMost(Over) < giveUpSteps, qt.IsTrue)
+// The time limits of the model are no more generous than those of the code: rounded to
+// the unsafe side they keep their order.
+func TestStepsPreserveOrderOfTimes(t *testing.T) {
+	qt.Assert(t, atMost(Over)+hangUpSteps < resubmitSteps, qt.IsTrue)
+	qt.Assert(t, atMost(Over) < holderTimeoutSteps, qt.IsTrue)
 	qt.Assert(t, termSteps < atMost(Over), qt.IsTrue)
 	qt.Assert(t, readSteps < int8(Backlog/step), qt.IsTrue)
 	qt.Assert(t, Term%step, qt.Equals, time.Duration(0))
--- a/internal/policy/ownership/ownership.go
+++ b/internal/policy/ownership/ownership.go
@@ -1,17 +1,19 @@
-// Package ownership decides how long an entry may act for the owner of a transient job.
+// Package ownership decides how long an entry may act on behalf of the owner of a
+// transient job.
 //
-// Load pattern: VMs stand still for seconds and go on with all that they knew; links hold
-// messages up; a share of a processor is used up for a tenth of a second at a time. A
-// transient job has no record outside its owner, and its caller sends it again through
-// another entry once it has had no answer for some time. Whoever then still acts for the
-// earlier owner runs the job beside its second run.
+// Load pattern: VMs pause for seconds and resume with their old state; links delay
+// messages; a CPU quota is used up for a tenth of a second at a time. A transient job has
+// no record outside its owner, and its caller resubmits it through another entry after
+// some time without an answer. An entry that still acts for the earlier owner then runs
+// the job concurrently with its second run.
 //
-// So the right to act is a lease, and what renews it is a proof that says when the owner
-// was alive, not when that was read. The proof is the acting entry's own clock reading
-// that the owner sent back, so one clock that has not stopped judges both ends, however
-// long a message was under way or lay unread. An entry is its own owner too: its proof is
-// that it ran. A lease that has once run out stays over, also when proofs come again:
-// meanwhile the owner, or its caller, may have turned elsewhere.
+// So the right to act is a lease, and it is renewed by proofs of liveness, which state
+// when the owner was alive, not when the proof was read. A proof is a clock reading of
+// the acting entry that the owner sent back, so a single clock, which does not stop
+// during pauses, measures both ends, however long a message was in flight or lay unread.
+// An entry also owns jobs itself: its proof is that it ran. An expired lease stays
+// expired even if proofs arrive again, because the owner or its caller may have turned to
+// another entry in the meantime.
 package ownership
 
 import (
@@ -22,64 +24,67 @@
 )
 
 const (
-	// Term is for how long a proof of life lets an entry act for an owner. Proofs are
-	// half a second old at the most in calm times: a heartbeat each way, 250 ms apart. A
-	// tenth of a second more each way is the pause of a VM whose share of a processor is
-	// used up. Above, healthy work would be given up; below is the time after which a
-	// caller sends its job again, with the time in between to stop what runs.
+	// Term is how long a proof of liveness lets an entry act for an owner. In normal
+	// operation proofs are at most half a second old: one heartbeat each way, 250 ms
+	// apart. Another tenth of a second each way is the pause of a VM whose CPU quota is
+	// used up. A shorter term would end healthy work. The upper limit is the time after
+	// which a caller resubmits its job, minus the time needed to stop running work.
 	Term = 950 * time.Millisecond
-	// Over is how long after a proof of life nothing runs for its owner any more: the end
-	// of the term and a stop, or the end of the target's lease, which is not renewed
-	// beyond this. Callers send a job again 1.3 s after they have lost their owner; the
-	// rest is for clocks that differ by 2%, and for the way of an order.
+	// Over is how long after a proof of liveness work may still run for its owner: until
+	// the end of the term plus the time of a stop, or until the end of the target's
+	// lease, which is not renewed beyond Over. Callers resubmit a job 1.3 s after they
+	// have lost its owner; the difference allows for clocks that differ by 2% and for the
+	// network delay of a start request.
 	Over = 1200 * time.Millisecond
 )
 
-// Lease is the right to act for one life of an owner, from its first proof on until
-// proofs have failed to come for a term. It is safe for concurrent use.
+// Lease is the right to act for one incarnation of an owner. It begins with the first
+// proof and expires once no proof has renewed it for a term. It is safe for concurrent
+// use.
 type Lease struct {
-	// first is the proof on which the lease began.
-	first   time.Time
-	resumed bool
-	lost    chan struct{}
-
-	mu    sync.Mutex
-	proof time.Time
-	over  bool
+	// firstProof is the proof with which the lease began.
+	firstProof time.Time
+	resumed    bool
+	lost       chan struct{}
+
+	mu      sync.Mutex
+	proof   time.Time
+	expired bool
 }
 
-// Begin returns a lease that rests on a proof of life. resumed says that an earlier one of
-// the same owner had run out.
+// Begin returns a lease that begins with a proof of liveness. resumed says that an
+// earlier lease of the same owner had expired.
 func Begin(proof time.Time, resumed bool) *Lease {
-	return &Lease{first: proof, resumed: resumed, proof: proof, lost: make(chan struct{})}
+	return &Lease{firstProof: proof, resumed: resumed, proof: proof, lost: make(chan struct{})}
 }
 
-// Resumed reports whether an earlier lease of the same owner had run out before.
+// Resumed reports whether an earlier lease of the same owner had expired.
 func (l *Lease) Resumed() bool { return l.resumed }
 
-// Holds reports whether the right to act stands now. What it is asked for must be done at
-// once: each start asks by itself, since the order of events after a pause is not ours and
-// a timer that fires late proves nothing.
+// Holds reports whether the lease is in effect now. The caller must act on the result
+// immediately and check before each start: after a pause the order of events is
+// undefined, and a timer that fires late proves nothing.
 func (l *Lease) Holds(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.holds(now)
+	return l.holdsLocked(now)
 }
 
-func (l *Lease) holds(now time.Time) bool {
-	if !l.over && now.Sub(l.proof) > Term {
-		l.over = true
+// holdsLocked is Holds for callers that hold the lock.
+func (l *Lease) holdsLocked(now time.Time) bool {
+	if !l.expired && now.Sub(l.proof) > Term {
+		l.expired = true
 		close(l.lost)
 	}
-	return !l.over
+	return !l.expired
 }
 
-// Renew takes a later proof of life. It reports false where the lease had run out before:
-// a proof that comes then doesn't bring it back.
+// Renew applies a later proof of liveness. It reports false if the lease had already
+// expired: a late proof does not revive it.
 func (l *Lease) Renew(now, proof time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.holds(now) {
+	if !l.holdsLocked(now) {
 		return false
 	}
 	if proof.After(l.proof) {
@@ -88,38 +93,39 @@
 	return true
 }
 
-// Lost is closed once somebody has found that the lease has run out.
+// Lost returns a channel that is closed once a check has found the lease expired.
 func (l *Lease) Lost() <-chan struct{} { return l.lost }
 
-// Proof returns when the owner was last proved alive.
+// Proof returns the time at which the owner was last proved alive.
 func (l *Lease) Proof() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.proof
 }
 
-// OverBy returns the moment from which on nothing may run under the lease. It moves on
-// with each proof.
+// OverBy returns the time from which nothing may run under the lease. Each proof extends
+// it.
 func (l *Lease) OverBy() time.Time { return l.Proof().Add(Over) }
 
-// Table keeps the leases of all owners at one entry. It is safe for concurrent use.
+// Table holds the leases of all owners at one entry. It is safe for concurrent use.
 type Table struct {
 	mu     sync.Mutex
 	leases map[job.Owner]*Lease
-	// lapsed are the owners of leases that ran out, so that the next one is known to
+	// expired are the owners whose leases expired, so that their next lease is known to
 	// follow a gap.
-	lapsed map[job.Owner]bool
+	expired map[job.Owner]bool
 }
 
-// maxLapsed bounds the owners that are remembered as lapsed: lives of entries that have
-// ended never come back, and a fleet of some hundreds restarts a few of them a minute.
-const maxLapsed = 4096
+// maxExpired bounds the number of owners that are remembered as expired: incarnations
+// that have ended never return, and a fleet of some hundreds of entries restarts a few of
+// them a minute.
+const maxExpired = 4096
 
-// Renew takes a proof of an owner's life and returns the lease that stands then; nil where
-// the proof itself is too old.
+// Renew applies a proof that an owner was alive and returns the lease that is in effect
+// then; nil if the proof itself is too old.
 func (t *Table) Renew(now time.Time, owner job.Owner, proof time.Time) *Lease {
 	if proof.After(now) {
-		return nil // no reading of this clock
+		return nil // not a reading of this clock
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,31 +134,32 @@
 		t.forget(owner)
 		l = nil
 	}
-	// That the owner is heard again makes nothing new that it sent before.
-	if now.Sub(proof) > Term || l != nil && proof.Before(l.first) {
+	// A proof from before the lease began stays outdated although the owner responds
+	// again.
+	if now.Sub(proof) > Term || l != nil && proof.Before(l.firstProof) {
 		return nil
 	}
 	if l != nil && l.Renew(now, proof) {
 		return l
 	}
 	if t.leases == nil {
-		t.leases, t.lapsed = map[job.Owner]*Lease{}, map[job.Owner]bool{}
+		t.leases, t.expired = map[job.Owner]*Lease{}, map[job.Owner]bool{}
 	}
-	l = Begin(proof, t.lapsed[owner])
+	l = Begin(proof, t.expired[owner])
 	t.leases[owner] = l
 	return l
 }
 
-// forget drops a lease that has run out; the caller holds the lock.
+// forget removes an expired lease; the caller holds the lock.
 func (t *Table) forget(owner job.Owner) {
 	delete(t.leases, owner)
-	if len(t.lapsed) >= maxLapsed {
-		clear(t.lapsed)
+	if len(t.expired) >= maxExpired {
+		clear(t.expired)
 	}
-	t.lapsed[owner] = true
+	t.expired[owner] = true
 }
 
-// Of returns the lease of an owner that stands now, or nil.
+// Of returns the owner's lease that is in effect now, or nil.
 func (t *Table) Of(now time.Time, owner job.Owner) *Lease {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -163,8 +170,7 @@
 	return l
 }
 
-// Sweep finds leases that have run out, forgets them and returns their owners with the
-// age of the last proof.
+// Sweep removes expired leases and returns their owners with the age of the last proof.
 func (t *Table) Sweep(now time.Time) map[job.Owner]time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/policy/ownership/ownership_test.go
+++ b/internal/policy/ownership/ownership_test.go
@@ -16,9 +16,9 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// Proofs come every quarter of a second and are half a second old, as in calm times. Work
-// goes on for as long as they come.
-func TestCalmProofsKeepTheRight(t *testing.T) {
+// Proofs arrive every quarter of a second and are half a second old, as in normal
+// operation. Work continues as long as they arrive.
+func TestTimelyProofsKeepLease(t *testing.T) {
 	var table Table
 	first := table.Renew(at(500), owner, at(0))
 	for ms := 500; ms < 60_000; ms += 50 {
@@ -30,10 +30,10 @@
 	qt.Assert(t, first.Resumed(), qt.IsFalse)
 }
 
-// An entry stands still for three seconds. Then it reads, in any order, what came
-// meanwhile: old proofs and new ones. Nothing brings back the right to what it had
-// accepted before; what is handed over afterwards has a right of its own.
-func TestARightThatRanOutStaysOver(t *testing.T) {
+// An entry pauses for three seconds. Then it reads, in any order, the old and new proofs
+// that arrived meanwhile. None of them revives the lease under which it accepted earlier
+// work; work that is handed over afterwards has a lease of its own.
+func TestExpiredLeaseStaysExpired(t *testing.T) {
 	for name, proofs := range map[string][]int{
 		"nothing":            nil,
 		"old proofs":         {100, 300},
@@ -50,7 +50,7 @@
 			select {
 			case <-before.Lost():
 			default:
-				t.Fatal("nobody is told that the right is over")
+				t.Fatal("Lost is not closed although the lease expired")
 			}
 			after := table.Renew(at(3010), owner, at(3000))
 			qt.Assert(t, after.Holds(at(3010)), qt.IsTrue)
@@ -60,17 +60,17 @@
 	}
 }
 
-// A proof that was under way, or lay unread, for longer than a term gives no right; nor
-// does a reading that this clock has not reached.
-func TestOldAndForeignProofsGiveNoRight(t *testing.T) {
+// A proof that was in flight or unread for longer than a term gives no lease; nor does a
+// clock reading that this clock has not reached yet.
+func TestOldAndInvalidProofsGiveNoLease(t *testing.T) {
 	var table Table
 	qt.Assert(t, table.Renew(at(3000), owner, at(3000).Add(-Term-time.Millisecond)), qt.IsNil)
 	qt.Assert(t, table.Renew(at(3000), owner, at(3001)), qt.IsNil)
 	qt.Assert(t, table.Of(at(3000), owner), qt.IsNil)
 }
 
-// Proofs may overtake each other: an older one shortens nothing.
-func TestAnOlderProofShortensNothing(t *testing.T) {
+// Proofs may overtake each other: an older one does not shorten the lease.
+func TestOlderProofDoesNotShortenLease(t *testing.T) {
 	var table Table
 	l := table.Renew(at(600), owner, at(500))
 	table.Renew(at(700), owner, at(100))
@@ -78,8 +78,8 @@
 	qt.Assert(t, l.OverBy().Equal(at(500).Add(Over)), qt.IsTrue)
 }
 
-// An owner's next life has nothing of the rights of the one before.
-func TestEachLifeHasItsOwnRight(t *testing.T) {
+// The next incarnation of an owner inherits nothing from the lease of the previous one.
+func TestEachIncarnationHasItsOwnLease(t *testing.T) {
 	var table Table
 	first := table.Renew(at(0), owner, at(0))
 	later := owner
@@ -90,7 +90,7 @@
 	qt.Assert(t, table.Of(at(1800), later), qt.IsNotNil)
 }
 
-func TestSweepNamesTheSilentOnce(t *testing.T) {
+func TestSweepReportsExpiredOwnersOnce(t *testing.T) {
 	var table Table
 	table.Renew(at(0), owner, at(0))
 	qt.Assert(t, table.Sweep(at(900)), qt.HasLen, 0)
@@ -98,11 +98,11 @@
 	qt.Assert(t, table.Sweep(at(1050)), qt.HasLen, 0)
 }
 
-// The terms fit together: what runs for an owner is over before its callers turn elsewhere,
+// The times are consistent: work for an owner ends before its callers resubmit elsewhere,
 // also at a target whose clock is 2% slow.
-func TestWorkIsOverBeforeCallersTurnElsewhere(t *testing.T) {
-	const callersTurn = 1300 * time.Millisecond
-	const stopAndWay = 150 * time.Millisecond
-	qt.Assert(t, Term+stopAndWay <= Over, qt.IsTrue)
-	qt.Assert(t, time.Duration(float64(Over)*1.02) < callersTurn, qt.IsTrue)
+func TestWorkEndsBeforeCallersResubmit(t *testing.T) {
+	const resubmitDelay = 1300 * time.Millisecond
+	const stopTime = 150 * time.Millisecond
+	qt.Assert(t, Term+stopTime <= Over, qt.IsTrue)
+	qt.Assert(t, time.Duration(float64(Over)*1.02) < resubmitDelay, qt.IsTrue)
 }
--- a/internal/policy/ownership/race_off_test.go
+++ b/internal/policy/ownership/race_off_test.go
@@ -2,5 +2,6 @@
 
 package ownership
 
-// raceDivisor is by how much less is explored: nothing slows these tests down.
+// raceDivisor is the factor by which exploration is reduced; none without the race
+// detector.
 const raceDivisor = 1
--- a/internal/policy/ownership/race_on_test.go
+++ b/internal/policy/ownership/race_on_test.go
@@ -2,5 +2,6 @@
 
 package ownership
 
-// raceDivisor is by how much less is explored: the race detector slows tests down tenfold.
+// raceDivisor is the factor by which exploration is reduced: the race detector slows
+// tests down tenfold.
 const raceDivisor = 10
