--- a/internal/policy/inventory/inventory_test.go
+++ b/internal/policy/inventory/inventory_test.go
@@ -16,7 +16,7 @@
 	return out
 }
 
-func names(b *Book, entry job.EntryID) []job.TargetID {
+func heldIDs(b *Book, entry job.EntryID) []job.TargetID {
 	h, _ := b.Of(entry)
 	out := []job.TargetID{}
 	for i := range h.Targets {
@@ -25,49 +25,50 @@
 	return out
 }
 
-// Words overtake each other, and come again after an answer was lost. An older one must not
-// bring targets back that have left.
-func TestTheLastWordCounts(t *testing.T) {
+// Reports overtake each other, and are repeated after a lost answer. An older report must
+// not bring back targets that have left.
+func TestLatestReportCounts(t *testing.T) {
 	b := &Book{}
 	qt.Assert(t, b.Told("a", Held{Life: 1, Number: 2, Targets: targets("t1", "t2")}), qt.IsTrue)
 	qt.Assert(t, b.Told("a", Held{Life: 1, Number: 1, Targets: targets("t3")}), qt.IsFalse)
-	qt.Assert(t, names(b, "a"), qt.DeepEquals, []job.TargetID{"t1", "t2"})
+	qt.Assert(t, heldIDs(b, "a"), qt.DeepEquals, []job.TargetID{"t1", "t2"})
 	qt.Assert(t, b.Told("a", Held{Life: 2, Number: 1, Targets: targets("t1", "t2")}), qt.IsFalse)
 	qt.Assert(t, b.Told("a", Held{Life: 1, Number: 9, Targets: nil}), qt.IsFalse)
 	qt.Assert(t, b.Told("a", Held{Life: 2, Number: 2, Targets: targets("t2")}), qt.IsTrue)
-	qt.Assert(t, names(b, "a"), qt.DeepEquals, []job.TargetID{"t2"})
+	qt.Assert(t, heldIDs(b, "a"), qt.DeepEquals, []job.TargetID{"t2"})
 	qt.Assert(t, b.HolderOf("t1"), qt.Equals, job.EntryID(""))
 }
 
-// A target goes from one holder to the next while the first is restarted. The first must
-// not take it back: it would stop what runs there.
-func TestATargetHasOneHolder(t *testing.T) {
+// A target moves from one holder to another while the first is restarted. The first must
+// not reclaim the target: it would stop what runs there.
+func TestTargetHasOneHolder(t *testing.T) {
 	b := &Book{}
 	b.Told("a", Held{Life: 1, Number: 1, Targets: targets("t1", "t2")})
 	b.Told("b", Held{Life: 1, Number: 1, Targets: targets("t2", "t3")})
-	qt.Assert(t, names(b, "a"), qt.DeepEquals, []job.TargetID{"t1"})
+	qt.Assert(t, heldIDs(b, "a"), qt.DeepEquals, []job.TargetID{"t1"})
 	qt.Assert(t, b.HolderOf("t2"), qt.Equals, job.EntryID("b"))
 	qt.Assert(t, b.Moved(targets("t1")[0], "b"), qt.IsTrue)
 	qt.Assert(t, b.Moved(targets("t1")[0], "b"), qt.IsFalse)
-	qt.Assert(t, names(b, "a"), qt.DeepEquals, []job.TargetID{})
-	qt.Assert(t, names(b, "b"), qt.DeepEquals, []job.TargetID{"t2", "t3", "t1"})
-	// Its own next word goes before what it was given.
+	qt.Assert(t, heldIDs(b, "a"), qt.DeepEquals, []job.TargetID{})
+	qt.Assert(t, heldIDs(b, "b"), qt.DeepEquals, []job.TargetID{"t2", "t3", "t1"})
+	// The entry's own next report takes precedence over a recorded move.
 	b.Told("b", Held{Life: 1, Number: 2, Targets: targets("t2")})
 	qt.Assert(t, b.HolderOf("t1"), qt.Equals, job.EntryID(""))
 }
 
-// A target says that it leaves, and all power fails right after. It must not be taken again.
-func TestATargetThatLeavesIsForgotten(t *testing.T) {
+// A target announces that it leaves, and all VMs lose power right after. The target must
+// not be used again.
+func TestLeavingTargetIsForgotten(t *testing.T) {
 	b := &Book{}
 	b.Told("a", Held{Life: 1, Number: 1, Targets: targets("t1", "t2")})
 	qt.Assert(t, b.Drop("t1"), qt.IsTrue)
 	qt.Assert(t, b.Drop("t1"), qt.IsFalse)
 	again := Load(b.All())
-	qt.Assert(t, names(again, "a"), qt.DeepEquals, []job.TargetID{"t2"})
+	qt.Assert(t, heldIDs(again, "a"), qt.DeepEquals, []job.TargetID{"t2"})
 	qt.Assert(t, again.Targets(), qt.Equals, 1)
 }
 
-func TestEntriesThatAreGoneAreForgotten(t *testing.T) {
+func TestGoneEntriesAreForgotten(t *testing.T) {
 	b := &Book{}
 	b.Told("a", Held{Life: 1, Number: 1, Targets: targets("t1")})
 	b.Told("b", Held{Life: 1, Number: 1, Targets: targets("t2")})
