--- a/internal/policy/patience/patience.go
+++ b/internal/policy/patience/patience.go
@@ -1,54 +1,58 @@
-// Package patience decides how much of the time that its latency objective leaves a job
-// may be expected to wait for its start.
+// Package patience decides what part of a job's slack, the time that its latency
+// objective leaves, the job may be expected to wait for its start.
 //
-// Load pattern: more jobs with an objective arrive than the targets can do, of kinds that
-// differ in how many places each needs at once and in how long it can wait. Two things go
-// wrong. Expectations are never exact: work that comes later and is in more of a hurry goes
-// first, run times are off, so where every job is taken that is expected to make it, many
-// are held and then given up. And kinds that need few places, or can wait long, take each
-// place that comes free before a wide and short kind ever finds enough of them: its callers
-// are refused nearly always while the others' are served.
+// Load pattern: more jobs with an objective arrive than the targets can run, of kinds
+// that differ in how many slots each needs at once and in how long it can wait. Two
+// problems arise. First, estimates are never exact: more urgent work that arrives later
+// goes first, and run times are off. If every job that is expected to meet its objective
+// were admitted, many would wait and then be abandoned. Second, kinds that need few
+// slots, or can wait long, take each slot that becomes free before a wide kind with
+// little slack ever finds enough of them: the callers of that kind are nearly always
+// refused while the others' are served.
 //
-// Both are corrected by what is seen. The part shrinks as admitted jobs start too late to
-// meet their objective, and each kind gets more of it the less of its work was admitted
-// beside that of the others.
+// Both are corrected by feedback. The part shrinks as admitted jobs start too late to
+// meet their objective, and a kind gets a larger part the smaller its share of admitted
+// jobs is compared to the other kinds.
 package patience
 
 const (
-	// missStep and admitStep are the weights of one job in the measures: some tens of jobs
-	// are remembered, about a second of one holder's under load.
-	missStep  = 0.03
-	admitStep = 0.1
-	// missCost is by how much of the slack the part shrinks with the share of jobs that
-	// started too late: at a fifth of them nothing more may wait.
-	missCost = 4
-	// evening is by how much the part of a kind moves with its distance from the others.
-	evening = 3
-	// least is the part that is always given: estimates are no better than this.
-	least = 0.1
+	// lateWeight and admittedWeight are the weights of one job in the moving averages:
+	// they cover some tens of jobs, about a second of one holder's jobs under load.
+	lateWeight     = 0.03
+	admittedWeight = 0.1
+	// latePenalty is how much the part shrinks per share of jobs that started too late:
+	// at a fifth of them no further job may wait.
+	latePenalty = 4
+	// fairnessGain is how much the part of a kind changes with the distance of its
+	// admitted share from the mean.
+	fairnessGain = 3
+	// minPart is the part that is always granted: estimates are no more precise than
+	// this.
+	minPart = 0.1
 )
 
-// Book remembers how admitted jobs fared. The zero value is a pool without a past.
+// Book tracks how many jobs were admitted and how many admitted jobs started too late.
+// The zero value is a pool without history.
 type Book struct {
-	missed   float64
-	admitted map[string]float64
+	lateShare float64
+	admitted  map[string]float64
 }
 
-// Started takes in that an admitted job has started, or was given up, and whether that
-// came too late for its objective.
-func (b *Book) Started(late bool) { move(&b.missed, late, missStep) }
+// Started records that an admitted job has started or was abandoned, and whether that was
+// too late for its objective.
+func (b *Book) Started(late bool) { updateMean(&b.lateShare, late, lateWeight) }
 
-// Decided takes in whether a job of a kind was admitted.
+// Decided records whether a job of a kind was admitted.
 func (b *Book) Decided(kind string, admitted bool) {
 	if b.admitted == nil {
 		b.admitted = map[string]float64{}
 	}
-	share := b.share(kind)
-	move(&share, admitted, admitStep)
-	b.admitted[kind] = share
+	admittedShare := b.admittedShare(kind)
+	updateMean(&admittedShare, admitted, admittedWeight)
+	b.admitted[kind] = admittedShare
 }
 
-func move(mean *float64, yes bool, step float64) {
+func updateMean(mean *float64, yes bool, step float64) {
 	x := 0.0
 	if yes {
 		x = 1
@@ -56,8 +60,8 @@
 	*mean += step * (x - *mean)
 }
 
-// share is which part of a kind's latest jobs was admitted.
-func (b *Book) share(kind string) float64 {
+// admittedShare is the share of a kind's recent jobs that were admitted.
+func (b *Book) admittedShare(kind string) float64 {
 	if s, known := b.admitted[kind]; known {
 		return s
 	}
@@ -66,13 +70,13 @@
 
 // Part returns the part of its slack that a job of a kind may be expected to wait.
 func (b *Book) Part(kind string) float64 {
-	part := max(least, 1-missCost*b.missed)
-	part += evening * (b.usual() - b.share(kind))
-	return min(1, max(least, part))
+	part := max(minPart, 1-latePenalty*b.lateShare)
+	part += fairnessGain * (b.meanAdmittedShare() - b.admittedShare(kind))
+	return min(1, max(minPart, part))
 }
 
-// usual is the mean share of the kinds.
-func (b *Book) usual() float64 {
+// meanAdmittedShare is the mean admitted share of all kinds.
+func (b *Book) meanAdmittedShare() float64 {
 	sum := 0.0
 	for _, s := range b.admitted {
 		sum += s
@@ -83,7 +87,7 @@
 	return sum / float64(len(b.admitted))
 }
 
-// Forget drops kinds that are no services any more.
+// Forget drops the kinds that are no longer services.
 func (b *Book) Forget(gone func(kind string) bool) {
 	for kind := range b.admitted {
 		if gone(kind) {
