--- a/internal/policy/pace/pace_test.go
+++ b/internal/policy/pace/pace_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// One run stands still, one goes nine times slower than elsewhere, one only takes
-// twice as long as it was said to. The first two are moved, the last is not: the
-// caller would wait for all of it again.
+// One run stalls, one is nine times slower than elsewhere, and one takes only twice as
+// long as declared. The first two are moved. The last is not: the caller would wait for
+// the whole run again.
 func TestMove(t *testing.T) {
 	const expected = 900 * time.Millisecond
 	at := FirstLook(expected)
