--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -13,47 +13,48 @@
 	"github.com/vanillagrade/vanillagrade/internal/policy/pq"
 )
 
-// batchKey names one owner's batch.
+// batchKey identifies a batch of one owner.
 type batchKey struct {
 	owner job.Owner
 	id    job.ID
 }
 
-// batch is an accepted batch with tasks that are queued or running.
+// batch is an accepted batch that has queued or running tasks.
 type batch struct {
-	key      batchKey
-	meta     *job.Batch
-	team     string
-	class    job.Urgency
-	long     bool
-	arrived  time.Time
-	deadline time.Time
-	own      time.Duration // run time of the job alone on this pool
-	flagLate bool
-	// repeatable work may be sent again, so it is the first choice for a probe.
+	key         batchKey
+	meta        *job.Batch
+	team        string
+	class       job.Urgency
+	long        bool
+	arrived     time.Time
+	deadline    time.Time
+	isolatedRun time.Duration // run time if no other job used the pool
+	flagLate    bool
+	// repeatable is set if tasks may run more than once; such a batch is preferred
+	// for probes.
 	repeatable bool
 	cancelled  bool
-	goal       objective
+	objective  latencyObjective
 
-	item fairqueue.Item[*batch]
-	due  pq.Node
+	item         fairqueue.Item[*batch]
+	deadlineNode pq.Node
 
 	tasks []task // by index
-	// order holds positions in tasks, the longest expected run first: what
-	// starts last decides when the job ends.
+	// order holds positions in tasks, the longest expected run time first: a long
+	// task that started last would delay the end of the job.
 	order    []int32
-	returned []int32 // proved not started, to be placed before order
+	requeued []int32 // tasks that were queued again; they start before those of order
 	running  int
-	// done counts the tasks that have ended with a result.
+	// done counts the tasks that completed.
 	done int
-	// suspects counts the tasks that are suspected of bringing targets down, and that are
-	// queued or running; trying is set while one of them runs.
-	suspects int
-	trying   bool
-	racks    map[string]int // running tasks by rack
+	// suspects counts the queued and running tasks that are suspected of crashing
+	// targets; suspectRunning is set while one of them runs.
+	suspects       int
+	suspectRunning bool
+	racks          map[string]int // running tasks by rack
 }
 
-// taskState is where a task stands.
+// taskState is the state of a task in the pool.
 type taskState uint8
 
 const (
@@ -73,7 +74,7 @@
 	started  time.Time
 	target   *target
 	avoid    []*target
-	// suspect is set where the task may have brought a target down.
+	// suspect is set if the task may have crashed a target.
 	suspect bool
 }
 
@@ -81,15 +82,15 @@
 	return estimate.Kind{Service: b.meta.Service, Name: t.Kind}
 }
 
-func (t *task) declared() time.Duration { return time.Duration(t.RunMillis) * time.Millisecond }
+func (t *task) declaredRun() time.Duration { return time.Duration(t.RunMillis) * time.Millisecond }
 
-// ownClasses is the number of classes of own time, each twice as long as the
-// one before; the last begins at half an hour.
-const ownClasses = 22
+// sizeClasses is the number of size classes of jobs. Each covers run times twice as
+// long as the one before; the last begins at 2^20 ms, about 17 minutes.
+const sizeClasses = 22
 
-// ownClass is the class of the job's own time.
-func (b *batch) ownClass() int {
-	return min(ownClasses-1, bits.Len64(uint64(b.own.Milliseconds())))
+// sizeClass returns the size class of the job, by its isolated run time.
+func (b *batch) sizeClass() int {
+	return min(sizeClasses-1, bits.Len64(uint64(b.isolatedRun.Milliseconds())))
 }
 
 // find returns the task with the given index in the submission.
@@ -101,69 +102,71 @@
 	return &b.tasks[i]
 }
 
-func (b *batch) queued() int { return len(b.order) + len(b.returned) }
+func (b *batch) queued() int { return len(b.order) + len(b.requeued) }
 
 // peek returns the task to start next; there must be one.
 func (b *batch) peek() *task {
-	if n := len(b.returned); n > 0 {
-		return &b.tasks[b.returned[n-1]]
+	if n := len(b.requeued); n > 0 {
+		return &b.tasks[b.requeued[n-1]]
 	}
 	return &b.tasks[b.order[0]]
 }
 
-// pop takes away the task that peek returned.
+// pop removes the task that peek returned.
 func (b *batch) pop() {
-	if n := len(b.returned); n > 0 {
-		b.returned = b.returned[:n-1]
+	if n := len(b.requeued); n > 0 {
+		b.requeued = b.requeued[:n-1]
 		return
 	}
 	b.order = b.order[1:]
 }
 
-// giveBack queues a task again, before the others of its job.
-func (b *batch) giveBack(t *task) {
+// requeue queues a task again, before the others of its job.
+func (b *batch) requeue(t *task) {
 	i, _ := sort.Find(len(b.tasks), func(i int) int { return cmp.Compare(t.Index, b.tasks[i].Index) })
-	b.returned = append(b.returned, int32(i))
+	b.requeued = append(b.requeued, int32(i))
 }
 
-// clear takes all queued tasks out and returns them.
-func (b *batch) clear() []*task {
+// removeQueued removes all queued tasks and returns them in order of index.
+func (b *batch) removeQueued() []*task {
 	out := make([]*task, 0, b.queued())
-	for _, i := range slices.Concat(b.returned, b.order) {
+	for _, i := range slices.Concat(b.requeued, b.order) {
 		out = append(out, &b.tasks[i])
 	}
 	slices.SortFunc(out, func(x, y *task) int { return cmp.Compare(x.Index, y.Index) })
 	for _, t := range out {
 		t.state = taskEnded
 	}
-	b.order, b.returned = nil, nil
+	b.order, b.requeued = nil, nil
 	for _, t := range out {
-		b.settleSuspect(t)
+		b.clearSuspect(t)
 	}
 	return out
 }
 
-// settleSuspect counts a suspect that is not to be started any more.
-func (b *batch) settleSuspect(t *task) {
+// clearSuspect removes the suspicion of a task that will not start again.
+func (b *batch) clearSuspect(t *task) {
 	if t.suspect {
 		t.suspect = false
 		b.suspects--
 	}
 }
 
-// suspectTask has a task run alone from now on, and the others of its job wait for its end.
-func (b *batch) suspectTask(t *task) {
+// markSuspect makes a task run alone on its target from now on, while the others of its
+// job wait until it has ended.
+func (b *batch) markSuspect(t *task) {
 	if !t.suspect {
 		t.suspect = true
 		b.suspects++
 	}
 }
 
-// takeSuspects has those tasks go first under which targets have ended before.
-func (b *batch) takeSuspects() {
+// queueSuspectsFirst moves the tasks during which targets have crashed before to the
+// front.
+func (b *batch) queueSuspectsFirst() {
 	for i := range b.tasks {
 		if len(b.tasks[i].Crashed) > 0 {
-			b.suspectTask(&b.tasks[i])
+			b.markSuspect(&b.tasks[i])
 		}
 	}
 	if b.suspects == 0 {
@@ -172,16 +175,17 @@
 	isSuspect := func(i int32) bool { return b.tasks[i].suspect }
 	for _, i := range b.order {
 		if isSuspect(i) {
-			b.returned = append(b.returned, i)
+			b.requeued = append(b.requeued, i)
 		}
 	}
 	b.order = slices.DeleteFunc(b.order, isSuspect)
 }
 
-// waitsForSuspect reports whether the next task of a batch has to wait until a suspected one
-// of the same job has ended: what brings down one target would bring down others meanwhile.
+// waitsForSuspect reports whether a task has to wait until a suspected one of the same job
+// has ended. Tasks of one job may crash targets in the same way, and would crash several
+// at once.
 func (b *batch) waitsForSuspect(t *task) bool {
-	return b.suspects > 0 && (!t.suspect || b.trying)
+	return b.suspects > 0 && (!t.suspect || b.suspectRunning)
 }
 
 func (b *batch) sortTasks() {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// BenchmarkTask is the cost of one task from its offer to its end while the
-// pool is full and tasks wait: today's pool of 50 targets, and one holder's
+// BenchmarkTask measures the cost of one task from its offer to its end while the
+// pool is full and tasks wait: for today's pool of 50 targets, and for one holder's
 // part of 2,700 workers in 7 zones with 3 holders each, for 63 teams.
 func BenchmarkTask(b *testing.B) {
 	for _, size := range []struct{ targets, teams, tasks int }{{50, 8, 1}, {50, 8, 10}, {130, 63, 1}, {130, 63, 10}, {130, 63, 1900}, {2700, 63, 10}} {
@@ -65,7 +65,7 @@
 	}
 }
 
-// BenchmarkCancel is the cost of one task of a wave of cancellations.
+// BenchmarkCancel measures the cost for each task when many jobs are cancelled at once.
 func BenchmarkCancel(b *testing.B) {
 	p := smallPool(50, 8, Options{NoAdmission: true})
 	f := testFile()
--- a/internal/scheduler/room_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -9,11 +9,11 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-func roomy(id job.TargetID, millis int) job.Target {
+func sizedTarget(id job.TargetID, millis int) job.Target {
 	return job.Target{ID: id, Pool: "p", Address: "10.0.0.1:" + string(id), Zone: "a", Slots: 8, Connections: 64, MilliProcessors: millis, MemoryMB: millis / 10}
 }
 
-func sized(id job.ID, n, millis int) *job.Batch {
+func sizedBatch(id job.ID, n, millis int) *job.Batch {
 	b := &job.Batch{Owner: job.Owner{Entry: "e", Incarnation: 1}, Submission: id, Service: "s", Attempts: 3, Transient: true}
 	for i := range n {
 		b.Tasks = append(b.Tasks, job.BatchTask{Index: i, TaskSpec: job.TaskSpec{MilliProcessors: millis, MemoryMB: 64, RunMillis: 100}})
@@ -21,8 +21,9 @@
 	return b
 }
 
-// room returns how much the started tasks of a target take.
-func taken(starts []Start, on job.TargetID) int {
+// startedMillis returns the total size of the tasks started on a target, in thousandths of a
+// processor.
+func startedMillis(starts []Start, on job.TargetID) int {
 	sum := 0
 	for i := range starts {
 		if starts[i].Target == on {
@@ -33,52 +34,53 @@
 	return sum
 }
 
-// Guards against starts beyond a room that has shrunk, also below what runs there, and
-// against a room that is not used again once it has grown.
-func TestRoomsFollowEachAnnouncement(t *testing.T) {
+// Guards against starts beyond a target size that has shrunk, also to less than the running
+// tasks use, and against a target size that is not used again after it has grown.
+func TestCapacityFollowsEachAnnouncement(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := New("p", 1)
-	p.SetTarget(now, roomy("t", 32000))
-	qt.Assert(t, p.Offer(now, sized("a", 6, 14000)).Accepted, qt.IsTrue)
+	p.SetTarget(now, sizedTarget("t", 32000))
+	qt.Assert(t, p.Offer(now, sizedBatch("a", 6, 14000)).Accepted, qt.IsTrue)
 	first := p.Next(now).Starts
-	qt.Assert(t, taken(first, "t"), qt.Equals, 28000)
+	qt.Assert(t, startedMillis(first, "t"), qt.Equals, 28000)
 
-	p.SetTarget(now, roomy("t", 16000)) // below what runs
+	p.SetTarget(now, sizedTarget("t", 16000)) // less than the running tasks use
 	qt.Assert(t, p.Next(now).Starts, qt.HasLen, 0)
 	qt.Assert(t, p.Finished(now, first[0].Key, Result{Status: job.TaskDone}), qt.IsTrue)
 	qt.Assert(t, p.Next(now).Starts, qt.HasLen, 0)
 	qt.Assert(t, p.Finished(now, first[1].Key, Result{Status: job.TaskDone}), qt.IsTrue)
 	second := p.Next(now).Starts
-	qt.Assert(t, taken(second, "t"), qt.Equals, 14000)
+	qt.Assert(t, startedMillis(second, "t"), qt.Equals, 14000)
 
-	p.SetTarget(now, roomy("t", 0))
+	p.SetTarget(now, sizedTarget("t", 0))
 	qt.Assert(t, p.Finished(now, second[0].Key, Result{Status: job.TaskDone}), qt.IsTrue)
 	qt.Assert(t, p.Next(now).Starts, qt.HasLen, 0)
 	qt.Assert(t, p.Load(now).Free, qt.Equals, 0)
 
-	p.SetTarget(now, roomy("t", 48000))
-	qt.Assert(t, taken(p.Next(now).Starts, "t"), qt.Equals, 42000)
+	p.SetTarget(now, sizedTarget("t", 48000))
+	qt.Assert(t, startedMillis(p.Next(now).Starts, "t"), qt.Equals, 42000)
 }
 
-// Guards against jobs that are called impossible while rooms have shrunk for a while.
-func TestShrunkRoomsMakeNoJobImpossible(t *testing.T) {
+// Guards against jobs that are refused as infeasible while target sizes have shrunk
+// temporarily.
+func TestShrunkCapacityMakesNoJobInfeasible(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := New("p", 1)
-	p.SetTarget(now, roomy("t", 32000))
-	p.SetTarget(now, roomy("t", 1000))
-	v := p.Offer(now, sized("a", 1, 14000))
+	p.SetTarget(now, sizedTarget("t", 32000))
+	p.SetTarget(now, sizedTarget("t", 1000))
+	v := p.Offer(now, sizedBatch("a", 1, 14000))
 	qt.Assert(t, v.Reason, qt.Not(qt.Equals), job.Infeasible)
 	qt.Assert(t, p.Load(now).Largest.Millis(), qt.Equals, 32000)
 	qt.Assert(t, p.Next(now).Starts, qt.HasLen, 0)
 }
 
-// Guards against a series of starts that a target refuses, which has less room than it
-// announced last.
-func TestRefusalForRoomIsLearnedFrom(t *testing.T) {
+// Guards against repeated starts on a target that refuses them because it has less free
+// capacity than it last announced.
+func TestCapacityRefusalLimitsTarget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := New("p", 1)
-	p.SetTarget(now, roomy("t", 32000))
-	p.Offer(now, sized("a", 8, 4000))
+	p.SetTarget(now, sizedTarget("t", 32000))
+	p.Offer(now, sizedBatch("a", 8, 4000))
 	starts := p.Next(now).Starts
 	qt.Assert(t, starts, qt.HasLen, 8)
 	for _, s := range starts[2:] {
@@ -88,7 +90,7 @@
 		now = now.Add(50 * time.Millisecond)
 		qt.Assert(t, p.Next(now).Starts, qt.HasLen, 0)
 	}
-	p.SetTarget(now, roomy("t", 16000))
+	p.SetTarget(now, sizedTarget("t", 16000))
 	now = now.Add(time.Second)
-	qt.Assert(t, taken(p.Next(now).Starts, "t") <= 8000, qt.IsTrue)
+	qt.Assert(t, startedMillis(p.Next(now).Starts, "t") <= 8000, qt.IsTrue)
 }
--- a/internal/scheduler/finish.go
+++ b/internal/scheduler/finish.go
@@ -6,12 +6,12 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// maxAttempts is how often a task is put back after a target refused it. Eight
-// refusals by different targets with growing gaps mean that the pool is full
-// of other work; the caller is told so.
+// maxAttempts is the number of starts after which a task is not queued again. Eight
+// refusals by different targets at growing intervals mean that the pool is full of
+// other work, and the caller receives that answer.
 const maxAttempts = 8
 
-// release takes a started task off its target.
+// release removes a running task from its target.
 func (p *Pool) release(now time.Time, k Key) (*batch, *task) {
 	b := p.batches[batchKey{k.Owner, k.Submission}]
 	if b == nil {
@@ -24,23 +24,24 @@
 	tg := t.target
 	t.state = taskEnded
 	if t.suspect {
-		tg.alone, b.trying = false, false
+		tg.exclusive, b.suspectRunning = false, false
 	}
 	b.running--
 	if b.racks != nil {
 		b.racks[tg.Rack]--
 	}
 	p.running--
-	p.hold(b, -1)
-	p.book.Ended(t.kind(b), t.started)
+	p.countRunning(b, -1)
+	p.estimates.Ended(t.kind(b), t.started)
 	tg.running--
 	tg.used = tg.used.Minus(t.size)
-	clear(p.noRoom)
+	clear(p.unplaceable)
 	return b, t
 }
 
-// Finished frees the slot of a started task and learns from how it went. It
-// reports false for a task that the pool doesn't know as running.
+// Finished frees the slot of a started task and records its result for the run
+// time estimates and the health of its target. It returns false if the task is
+// not running.
 func (p *Pool) Finished(now time.Time, k Key, r Result) bool {
 	b, t := p.release(now, k)
 	if t == nil {
@@ -49,51 +50,51 @@
 	if r.Status == job.TaskDone {
 		b.done++
 	}
-	b.settleSuspect(t)
-	p.learn(now, b, t, r)
+	b.clearSuspect(t)
+	p.recordResult(now, b, t, r)
 	p.rerank(now, t.target)
-	p.dropIfIdle(t.target)
+	p.removeTargetIfIdle(t.target)
 	t.target = nil
-	p.forget(b)
+	p.removeBatchIfIdle(b)
 	return true
 }
 
-// Quarantined reports whether a target is held back for what it failed or lost, and
-// gets single probes only.
+// Quarantined reports whether a target gets only single probes because of failed tasks
+// or lost starts.
 func (p *Pool) Quarantined(id job.TargetID) bool {
 	tg := p.targets[id]
 	return tg != nil && tg.health.Quarantined()
 }
 
-func (p *Pool) learn(now time.Time, b *batch, t *task, r Result) {
+func (p *Pool) recordResult(now time.Time, b *batch, t *task, r Result) {
 	tg := t.target
 	kind := t.kind(b)
 	switch {
 	case r.Unanswered:
-		// A target that is full or going says so. Orders that get lost everywhere
-		// are judged like failures, by what one target loses beyond the others: if
-		// each loss held its target back, a network that loses half of the orders
-		// would leave a pool with one task at a time on each target.
+		// A target that is full or draining says so. Lost start requests count
+		// like failures, by how many more one target loses than the others: if
+		// each loss limited its target to probes, a network that loses half of the
+		// requests would reduce the pool to one task at a time on each target.
 		p.fleet.Failed(now, &tg.health, tg.ID, kind, t.probe)
 	case r.TargetRefused || r.Status == job.TaskNotStarted:
 		p.fleet.Refused(now, &tg.health, t.probe)
 	case r.Status == job.TaskDone:
 		expected := p.expect(now, b, t)
 		p.fleet.Done(now, &tg.health, tg.ID, kind, r.Ran, expected, t.probe)
-		// A slow target's run times say something of the target only.
+		// The run times on a slow target don't describe the kind of task.
 		if p.fleet.Slowness(&tg.health) <= 1 || p.opts.NoHealth {
-			p.book.Learn(now, kind, r.Ran)
+			p.estimates.Learn(now, kind, r.Ran)
 		}
-	case b.cancelled || stopped(r.Reason):
+	case b.cancelled || endedByRequester(r.Reason):
 		p.fleet.Stopped(now, &tg.health, r.Ran, p.expect(now, b, t), t.probe)
 	default:
 		p.fleet.Failed(now, &tg.health, tg.ID, kind, t.probe)
 	}
 }
 
-// stopped reports whether a task ended because nobody waited for it any more,
-// which says nothing against its target.
-func stopped(r job.Reason) bool {
+// endedByRequester reports whether a task ended because its result was no longer
+// needed, which is not a failure of its target.
+func endedByRequester(r job.Reason) bool {
 	switch r {
 	case job.DeadlinePassed, job.CallerGone, job.CancelledByCall, job.SiblingFailed, job.OwnerLost, job.Draining:
 		return true
@@ -101,75 +102,77 @@
 	return false
 }
 
-// Requeue puts a task back that its target provably did not start. It keeps
-// its place and goes elsewhere. It reports false where the submission was
-// cancelled or has ended meanwhile, or where too many targets have refused the
-// task: it then stays unstarted and is the caller's to report.
+// Requeue queues a task again that its target provably did not start. The task
+// keeps its position and avoids that target. Requeue returns false if the
+// submission was cancelled, has expired or has ended, or if too many targets have
+// refused the task: the task is then dropped, and the caller reports that it was
+// not started.
 func (p *Pool) Requeue(now time.Time, k Key) bool {
 	return p.Retry(now, k, Result{Status: job.TaskNotStarted})
 }
 
-// Retry puts a task back that failed as r says and may be sent again. Its
-// target is judged by the failure; otherwise it is as with Requeue.
+// Retry queues a failed task again that may run more than once, and records the
+// failure r for the health of its target. Otherwise it works like Requeue.
 func (p *Pool) Retry(now time.Time, k Key, r Result) bool {
 	b, t := p.release(now, k)
 	if t == nil {
 		return false
 	}
 	tg := t.target
-	p.learn(now, b, t, r)
+	p.recordResult(now, b, t, r)
 	p.rerank(now, tg)
-	p.dropIfIdle(tg)
+	p.removeTargetIfIdle(tg)
 	t.target = nil
 	expired := !b.deadline.IsZero() && !b.flagLate && !now.Before(b.deadline)
 	if r.NoRoom {
-		p.cap(now, tg)
+		p.limitToUsed(now, tg)
 	}
 	if b.cancelled || expired || t.attempts >= maxAttempts {
-		b.settleSuspect(t)
-		p.forget(b)
+		b.clearSuspect(t)
+		p.removeBatchIfIdle(b)
 		return false
 	}
 	if r.Suspect && !p.opts.NoAlone {
-		b.suspectTask(t)
+		b.markSuspect(t)
 	}
-	p.putBack(now, b, t, tg)
+	p.requeueTask(now, b, t, tg)
 	return true
 }
 
-// Suspect has the other tasks of a job wait while one of them runs that may have brought its
-// target down.
+// Suspect makes the other tasks of a job wait while the running task k, which may have
+// crashed its target, goes on.
 func (p *Pool) Suspect(k Key) {
 	b := p.batches[batchKey{k.Owner, k.Submission}]
 	if b == nil || p.opts.NoAlone {
 		return
 	}
 	if t := b.find(k.Index); t != nil && t.state == taskRunning {
-		b.suspectTask(t)
-		b.trying = true
+		b.markSuspect(t)
+		b.suspectRunning = true
 	}
 }
 
-// cap takes in that a target has no room for more than runs there, whatever it announced
-// last. Its next announcement says what it has. Without it each task that seems to fit would
-// be refused there in turn.
-func (p *Pool) cap(now time.Time, tg *target) {
+// limitToUsed reduces the size of a target to what its running tasks use, until its next
+// announcement. Without it, the target would refuse one task after another that fits into
+// its announced size.
+func (p *Pool) limitToUsed(now time.Time, tg *target) {
 	used := tg.used
-	tg.capped = &used
+	tg.reducedSize = &used
 	p.rerank(now, tg)
 }
 
-func (p *Pool) putBack(now time.Time, b *batch, t *task, refusedBy *target) {
+func (p *Pool) requeueTask(now time.Time, b *batch, t *task, refusedBy *target) {
 	t.avoid = append(t.avoid, refusedBy)
 	p.unqueue(b)
 	t.state = taskQueued
-	b.giveBack(t)
+	b.requeue(t)
 	p.enqueue(now, b)
-	p.watchDeadline(b)
+	p.updateDeadline(b)
 }
 
-// Cancel drops the queued tasks of a submission, in O(1) for each, and names
-// those that run; they stay accounted for until Finished.
+// Cancel removes the queued tasks of a submission, in O(1) for each, and returns
+// their indices and the running tasks. Running tasks are tracked until Finished is
+// called for them.
 func (p *Pool) Cancel(now time.Time, owner job.Owner, id job.ID) (dropped []int, running []Running) {
 	b := p.batches[batchKey{owner, id}]
 	if b == nil {
@@ -177,7 +180,7 @@
 	}
 	b.cancelled = true
 	p.unqueue(b)
-	for _, t := range b.clear() {
+	for _, t := range b.removeQueued() {
 		dropped = append(dropped, t.Index)
 	}
 	for i := range b.tasks {
@@ -185,6 +188,6 @@
 			running = append(running, Running{Index: t.Index, Target: t.target.ID})
 		}
 	}
-	p.forget(b)
+	p.removeBatchIfIdle(b)
 	return dropped, running
 }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -13,10 +13,10 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// The harness runs one pool in virtual time: a list of arrivals, targets with
-// speeds, and what each caller received.
+// The harness simulates one pool in virtual time. Its input is a list of arrivals
+// and the speed and failures of each target; its output is the answer to each caller.
 
-// arrival is one job with the run times that its tasks really have.
+// arrival is one job with the actual run times of its tasks.
 type arrival struct {
 	group    string
 	at       time.Duration
@@ -33,7 +33,7 @@
 	slack    time.Duration
 }
 
-// worker is a target as it really is.
+// worker is the actual behaviour of a target.
 type worker struct {
 	slowdown func(at time.Duration) float64
 	fails    func(at time.Duration) bool
@@ -76,25 +76,25 @@
 }
 
 type sim struct {
-	pool    *Pool
-	now     time.Time
-	queue   events
-	seq     int
-	workers map[job.TargetID]worker
-	jobs    map[job.ID]*running
-	answers []answer
-	starts  int
-	byTgt   map[job.TargetID]int
-	slots   int
-	wake    time.Time
-	memory  int // of each task
-	onStart func(Start)
+	pool           *Pool
+	now            time.Time
+	queue          events
+	seq            int
+	workers        map[job.TargetID]worker
+	jobs           map[job.ID]*running
+	answers        []answer
+	starts         int
+	startsByTarget map[job.TargetID]int
+	slots          int
+	wake           time.Time
+	memory         int // of each task
+	onStart        func(Start)
 }
 
 func newSim(opts Options, targets, slots int, workers map[int]worker) *sim {
 	s := &sim{
 		pool: NewWith("render", 7, opts), now: epoch, workers: map[job.TargetID]worker{},
-		jobs: map[job.ID]*running{}, byTgt: map[job.TargetID]int{}, slots: targets * slots,
+		jobs: map[job.ID]*running{}, startsByTarget: map[job.TargetID]int{}, slots: targets * slots,
 	}
 	s.pool.Configure(epoch, testFile())
 	for i := range targets {
@@ -110,7 +110,7 @@
 	heap.Push(&s.queue, event{at: s.now.Add(d), seq: s.seq, do: do})
 }
 
-// run plays all arrivals to their end.
+// run simulates all arrivals until no event is left.
 func (s *sim) run(arrivals []arrival) []answer {
 	for i := range arrivals {
 		a := &arrivals[i]
@@ -176,7 +176,7 @@
 	if s.onStart != nil {
 		s.onStart(x)
 	}
-	s.byTgt[x.Target]++
+	s.startsByTarget[x.Target]++
 	if j.arrival.poison || w.fails != nil && w.fails(at) {
 		s.after(2*time.Millisecond, func() {
 			s.pool.Finished(s.now, x.Key, Result{Ran: 2 * time.Millisecond, Status: job.TaskErred, Reason: job.TaskFailed})
@@ -196,7 +196,7 @@
 	})
 }
 
-// ideal is the time of a job on an idle pool of sound targets.
+// ideal returns the time that a job takes on an idle pool of healthy targets.
 func (s *sim) ideal(a *arrival) time.Duration {
 	var sum, longest time.Duration
 	for _, r := range a.runs {
@@ -206,16 +206,16 @@
 	return max(longest, sum/time.Duration(s.slots))
 }
 
-// figures sums up what the callers of one group received.
-type figures struct {
+// summary aggregates the answers to the callers of one group.
+type summary struct {
 	sent, complete, inTime, refused, failed int
-	well                                    int // answered with a stretch under 1.5
+	lowStretch                              int // completed with a stretch below 1.5
 	p50, p99, p999                          float64
 	useful                                  time.Duration // run time of jobs answered in time
 }
 
-func (s *sim) figures(group string, from, to time.Duration) figures {
-	var f figures
+func (s *sim) summary(group string, from, to time.Duration) summary {
+	var f summary
 	var stretch []float64
 	for _, a := range s.answers {
 		if group != "" && a.arrival.group != group || a.arrival.at < from || a.arrival.at >= to {
@@ -228,7 +228,7 @@
 			x := a.after.Seconds() / s.ideal(a.arrival).Seconds()
 			stretch = append(stretch, x)
 			if x < 1.5 {
-				f.well++
+				f.lowStretch++
 			}
 			if a.arrival.deadline == 0 || a.after <= a.arrival.deadline {
 				f.inTime++
@@ -247,14 +247,14 @@
 	return f
 }
 
-func quantile(sorted []float64, q float64) float64 {
+func quantile(sorted []float64, fraction float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
 	}
-	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
+	return sorted[min(len(sorted)-1, int(fraction*float64(len(sorted))))]
 }
 
-func (f figures) String() string {
+func (f summary) String() string {
 	return fmt.Sprintf("stretch p50 %.2f p99 %.2f p99.9 %.2f; %d sent, %d in time, %d refused, %d failed",
 		f.p50, f.p99, f.p999, f.sent, f.inTime, f.refused, f.failed)
 }
@@ -291,7 +291,7 @@
 	}
 }
 
-func mix(loads ...load) []arrival {
+func mergeLoads(loads ...load) []arrival {
 	var out []arrival
 	for i, l := range loads {
 		out = append(out, l.arrivals(uint64(i+1))...)
@@ -300,25 +300,25 @@
 	return out
 }
 
-// between draws run times evenly on a log scale.
-func between(low, high time.Duration) func(*rand.Rand) time.Duration {
+// logUniform draws run times that are uniform on a logarithmic scale.
+func logUniform(low, high time.Duration) func(*rand.Rand) time.Duration {
 	return func(r *rand.Rand) time.Duration {
 		return time.Duration(float64(low) * math.Pow(float64(high)/float64(low), r.Float64()))
 	}
 }
 
-// variant is one way of scheduling that a pattern is run with.
+// variant is a set of options with which a load pattern runs.
 type variant struct {
 	name string
 	opts Options
 }
 
-// compare runs a pattern with every decision on, with one off and with the
-// baseline, and prints a table with -v.
-func compare(t *testing.T, off Options, play func(Options) figures) (on, without, baseline figures) {
+// compare runs a load pattern with every policy enabled, with the given ones
+// disabled and, with -v, with the baseline. It logs the results.
+func compare(t *testing.T, off Options, play func(Options) summary) (on, without, baseline summary) {
 	t.Helper()
 	rows := []variant{{"all decisions", Options{}}, {"without this one", off}, {"baseline", Baseline()}}
-	var out [3]figures
+	var out [3]summary
 	if !testing.Verbose() {
 		rows = rows[:2]
 	}
--- a/internal/scheduler/next.go
+++ b/internal/scheduler/next.go
@@ -9,10 +9,10 @@
 	"github.com/vanillagrade/vanillagrade/internal/policy/fairqueue"
 )
 
-// agedAfter is how long the head of a class waits before it is served beside
-// the more urgent ones, and agedShare the part of the slots that it then gets.
-// Strict classes alone would let a flood of urgent work starve the others; a
-// sixteenth costs the urgent ones 6% of the slots and only while others wait.
+// agedAfter is how long the first job of a class waits before it is served along
+// with more urgent classes; agedShare is the share of the slots that its class then
+// gets. With strict priorities alone, a flood of urgent work would starve the other
+// classes. A share of 1/16 costs urgent work 6% of the slots, only while others wait.
 var agedAfter = [classes]time.Duration{
 	job.UrgencyBatch:       5 * time.Second,
 	job.UrgencyInteractive: 500 * time.Millisecond,
@@ -21,82 +21,83 @@
 const agedShare = 1.0 / 16
 
 const (
-	// maxParked bounds how many jobs whose next task finds no room are passed
-	// over in one call.
-	maxParked = 8
-	// maxWaiting bounds how many jobs that wait for a suspected task of theirs are passed
-	// over in one call.
-	maxWaiting = 64
-	// keepAfter is how long such a job waits until a target is emptied for it.
-	// Smaller tasks would otherwise fill each gap before it is large enough.
-	keepAfter = time.Second
-	// longRecheck is when long tasks that were held back are looked at again,
-	// since their share grows as short work fades.
+	// maxUnplaced bounds how many jobs whose next task fits no target are skipped
+	// in one call.
+	maxUnplaced = 8
+	// maxSuspectWaiters bounds how many jobs that wait for one of their suspected tasks
+	// are skipped in one call.
+	maxSuspectWaiters = 64
+	// reserveAfter is how long a job whose next task fits no target waits until a
+	// target is reserved for it. Smaller tasks would otherwise fill each gap before it
+	// is large enough.
+	reserveAfter = time.Second
+	// longRecheck is the delay until long tasks that were held back are considered
+	// again, since their share grows as short work decreases.
 	longRecheck = time.Second
 )
 
-// Next decides what starts now and what leaves the queue.
+// Next decides which tasks start now and which expire.
 func (p *Pool) Next(now time.Time) Decisions {
 	var d Decisions
 	p.expire(now, &d)
-	p.passOver(now)
+	p.demoteLate(now)
 	p.startProbes(now, &d)
 	heldLong := p.startAll(now, &d)
 	p.startSlow(now, &d)
-	d.Wake = p.wake(now, heldLong)
+	d.Wake = p.nextWake(now, heldLong)
 	return d
 }
 
-// expire drops the queued tasks of jobs whose deadline has passed.
+// expire removes the queued tasks of jobs whose deadline has passed.
 func (p *Pool) expire(now time.Time, d *Decisions) {
-	for p.due.Len() > 0 {
-		b := p.due.Min()
+	for p.deadlines.Len() > 0 {
+		b := p.deadlines.Min()
 		if now.Before(b.deadline) {
 			return
 		}
-		p.noteStart(now, b)
+		p.recordStartLateness(now, b)
 		p.unqueue(b)
-		for _, t := range b.clear() {
+		for _, t := range b.removeQueued() {
 			d.Expired = append(d.Expired, Dropped{Key: b.keyOf(t), Reason: job.DeadlinePassed, Waited: now.Sub(b.arrived)})
 		}
-		p.forget(b)
+		p.removeBatchIfIdle(b)
 	}
 }
 
-// startAll starts tasks while a sound target has a free slot. It reports
-// whether long tasks were held back.
+// startAll starts tasks while a target that is neither slow nor limited to probes
+// has a free slot. It reports whether long tasks were held back.
 func (p *Pool) startAll(now time.Time, d *Decisions) (heldLong bool) {
-	var parked, waiting []*batch
+	var unplaced, suspectWaiters []*batch
 	maxLong := p.maxLong(now)
-	for p.free > 0 && p.queued > 0 && len(parked) < maxParked {
+	for p.freeSlots > 0 && p.queued > 0 && len(unplaced) < maxUnplaced {
 		b, blocked := p.pick(now, maxLong)
 		heldLong = heldLong || blocked
 		if b == nil {
 			break
 		}
 		t := b.peek()
-		if b.waitsForSuspect(t) && len(waiting) < maxWaiting {
+		if b.waitsForSuspect(t) && len(suspectWaiters) < maxSuspectWaiters {
 			p.classes[b.class].lanes[b.lane()].Remove(&b.item)
-			waiting = append(waiting, b)
+			suspectWaiters = append(suspectWaiters, b)
 			continue
 		}
 		tg := p.place(b, t, suspect)
 		if tg == nil {
 			p.classes[b.class].lanes[b.lane()].Remove(&b.item)
-			parked = append(parked, b)
-			p.keepTarget(now, b, t)
+			unplaced = append(unplaced, b)
+			p.reserveTarget(now, b, t)
 			continue
 		}
 		p.start(now, b, t, tg, false, d)
 	}
-	for _, b := range slices.Concat(parked, waiting) {
+	for _, b := range slices.Concat(unplaced, suspectWaiters) {
 		p.classes[b.class].lanes[b.lane()].Push(b.team, &b.item)
 	}
 	return heldLong
 }
 
-// pick returns the job to serve next: that of the most urgent class, but for
-// one that has waited too long in a class below.
+// pick returns the job to serve next: the first of the most urgent class, unless
+// one of a less urgent class has waited too long.
 func (p *Pool) pick(now time.Time, maxLong int) (next *batch, heldLong bool) {
 	for u := classes - 1; u >= 0; u-- {
 		b, blocked := p.head(job.Urgency(u), maxLong)
@@ -115,11 +116,11 @@
 	return next, heldLong
 }
 
-// head returns the job of a class to serve next.
+// head returns the job of a class to serve next, from its short or its long lane.
 func (p *Pool) head(u job.Urgency, maxLong int) (next *batch, heldLong bool) {
 	c := &p.classes[u]
 	short, long := c.lanes[laneShort].Head(), c.lanes[laneLong].Head()
-	if long != nil && u != job.UrgencyUrgent && p.longRuns >= maxLong {
+	if long != nil && u != job.UrgencyUrgent && p.longRunning >= maxLong {
 		long, heldLong = nil, true
 	}
 	switch {
@@ -133,47 +134,50 @@
 	return long.Value, heldLong
 }
 
-// headroomPart is the part of the slots that teams above their share leave
-// free, so that a quiet team's or an urgent job finds a slot at once in place
-// of waiting for the next ones to come free.
+// Teams above their share leave 1/headroomDivisor of the slots free, so that an
+// urgent job or a job of a team with little load starts at once instead of waiting
+// for a running task to end.
 //
-// A pool under headroomLeast slots leaves none: one slot would be too much of it.
+// A pool with fewer than minHeadroomSlots slots leaves none, since one slot would be
+// too large a part of it. Neither does a class with fewer queued tasks than
+// minHeadroomQueue of the slots.
 const (
-	headroomPart  = 32
-	headroomLeast = 32
-	headroomQueue = 0.25
+	headroomDivisor  = 32
+	minHeadroomSlots = 32
+	minHeadroomQueue = 0.25
 )
 
-// leavesHeadroom reports whether the job has to leave the slots that are still
-// free to teams within their share. The running tasks bring the next decision.
+// leavesHeadroom reports whether the job has to leave the remaining free slots to
+// teams within their share. It never does while no task runs, since the end of a
+// running task triggers the next decision.
 func (p *Pool) leavesHeadroom(b *batch) bool {
 	q := p.classes[b.class].lanes[b.lane()]
-	if b.class == job.UrgencyUrgent || p.running == 0 || p.free > p.headroom(b.class) {
+	if b.class == job.UrgencyUrgent || p.running == 0 || p.freeSlots > p.headroom(b.class) {
 		return false
 	}
 	return !q.WithinShare(&b.item, p.slots)
 }
 
-// headroom is how many free slots a class leaves. It leaves none while few of
-// its tasks wait: then slots come free soon enough, and leaving them would make
-// tasks wait that needn't.
+// headroom returns the number of slots that a class leaves free. It is zero while
+// few tasks of the class wait: slots then become free soon enough, and headroom
+// would delay tasks needlessly.
 func (p *Pool) headroom(u job.Urgency) int {
 	c := &p.classes[u]
-	if p.opts.NoHeadroom || p.slots < headroomLeast || c.lanes[laneShort].Teams() < 2 {
+	if p.opts.NoHeadroom || p.slots < minHeadroomSlots || c.lanes[laneShort].Teams() < 2 {
 		return 0
 	}
-	if float64(c.queued) < headroomQueue*p.slots {
+	if float64(c.queued) < minHeadroomQueue*p.slots {
 		return 0
 	}
-	return int(math.Ceil(p.slots / headroomPart))
+	return int(math.Ceil(p.slots / headroomDivisor))
 }
 
 func (p *Pool) start(now time.Time, b *batch, t *task, tg *target, probe bool, d *Decisions) {
 	b.pop()
 	if b.queued() == 0 {
-		p.noteStart(now, b)
+		p.recordStartLateness(now, b)
 		p.classes[b.class].lanes[b.lane()].Remove(&b.item)
-		p.due.Remove(b)
+		p.deadlines.Remove(b)
 	}
 	p.countQueued(b, -1, -t.expected.Seconds())
 	t.state = taskRunning
@@ -188,15 +192,15 @@
 		b.racks[tg.Rack]++
 	}
 	p.running++
-	p.hold(b, 1)
+	p.countRunning(b, 1)
 	p.reorder(b)
 	t.started = now
-	p.book.Started(now, t.kind(b))
+	p.estimates.Started(now, t.kind(b))
 	tg.running++
 	tg.used = tg.used.Plus(t.size)
-	tg.alone, b.trying = t.suspect, b.trying || t.suspect
-	if tg.kept == b || p.kept == b && b.queued() == 0 {
-		p.unkeep()
+	tg.exclusive, b.suspectRunning = t.suspect, b.suspectRunning || t.suspect
+	if tg.reservedFor == b || p.reservedFor == b && b.queued() == 0 {
+		p.clearReservation()
 	}
 	if probe {
 		tg.health.Probed()
@@ -213,10 +217,10 @@
 	d.Starts = append(d.Starts, s)
 }
 
-// keepTarget sets one target aside for a job whose next task is too large for
-// the gaps that the others leave.
-func (p *Pool) keepTarget(now time.Time, b *batch, t *task) {
-	if p.kept != nil || !t.suspect && (now.Sub(b.arrived) < keepAfter || len(t.avoid) > 0) {
+// reserveTarget reserves one target for a job whose next task is too large for
+// the gaps that other tasks leave, or has to run alone.
+func (p *Pool) reserveTarget(now time.Time, b *batch, t *task) {
+	if p.reservedFor != nil || !t.suspect && (now.Sub(b.arrived) < reserveAfter || len(t.avoid) > 0) {
 		return
 	}
 	var best *target
@@ -227,29 +231,29 @@
 		}
 	}
 	if best != nil {
-		best.kept = b
-		p.kept = b
+		best.reservedFor = b
+		p.reservedFor = b
 	}
 }
 
-func (p *Pool) unkeep() {
+func (p *Pool) clearReservation() {
 	for _, t := range p.targets {
-		t.kept = nil
+		t.reservedFor = nil
 	}
-	p.kept = nil
-	clear(p.noRoom)
+	p.reservedFor = nil
+	clear(p.unplaceable)
 }
 
-// wake is when to look again without an event.
-func (p *Pool) wake(now time.Time, heldLong bool) time.Time {
+// nextWake returns when to call Next again if no event occurs earlier.
+func (p *Pool) nextWake(now time.Time, heldLong bool) time.Time {
 	var at time.Time
 	sooner := func(t time.Time) {
 		if at.IsZero() || t.Before(at) {
 			at = t
 		}
 	}
-	if p.due.Len() > 0 {
-		sooner(p.due.Min().deadline)
+	if p.deadlines.Len() > 0 {
+		sooner(p.deadlines.Min().deadline)
 	}
 	if p.queued == 0 {
 		return at
--- a/internal/scheduler/objective.go
+++ b/internal/scheduler/objective.go
@@ -7,69 +7,70 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Load pattern: jobs with a latency objective of their own, from a tenth of a
-// second to some seconds, on a pool that is full in bursts and while a part of it
-// is away. Served in order of arrival all of them come late together once the
-// queue is as long as the shortest objective, and the pool works for answers that
-// are worth little while others become worth little behind them. Three rules
-// answer it. The job whose objective leaves the least time starts first. One that
-// can't meet its objective any more lets those pass that can. And one that can't
-// be answered while its answer is of any use is refused at once, or when that
-// becomes certain, so that its caller can turn elsewhere.
+// Load pattern: each job has a latency objective, from a tenth of a second to a few
+// seconds, and the pool is overloaded in bursts and while some of its targets are
+// unavailable. In order of arrival, all jobs become late together once the queue
+// is as long as the shortest objective: the pool works on answers of little value
+// while the answers of the jobs behind them lose theirs. Three rules prevent this:
+//
+//   - The job whose objective leaves the least time starts first.
+//   - A job that can no longer meet its objective lets those pass that still can.
+//   - A job that can't be answered while its answer is useful is refused on
+//     arrival, or as soon as that is certain, so that its caller can try elsewhere.
 
 const (
-	// startDoubt is by how much a task may run longer than expected, as a part of
-	// the expected time. A job counts as one that meets its objective only if it
-	// still would then.
-	startDoubt = 0.15
-	// lateShift orders jobs that miss their objective behind all that may meet it:
-	// above any objective.
-	lateShift = time.Hour
+	// runTimeMargin is a safety margin as a fraction of the expected run time. A job
+	// counts as meeting its objective only if it does so with this much added.
+	runTimeMargin = 0.15
+	// lateOrderShift is longer than any objective, so that it orders jobs that miss
+	// their objective behind all that may still meet theirs.
+	lateOrderShift = time.Hour
 )
 
-// objective is the latency objective of a batch; the zero value is none.
-type objective struct {
-	// meets is the latest start that meets the objective, useless the latest one
-	// after which the answer is of no use.
-	meets, useless time.Time
-	late           bool
+// latencyObjective is the latency objective of a batch; the zero value means none.
+type latencyObjective struct {
+	// latestStart is the latest start that meets the objective, latestUsefulStart
+	// the latest one for which the answer is still useful.
+	latestStart, latestUsefulStart time.Time
+	late                           bool
 }
 
-func (o *objective) set() bool { return !o.meets.IsZero() }
+func (o *latencyObjective) set() bool { return !o.latestStart.IsZero() }
 
-// objectiveOf works out a batch's objective from its service's.
-func (p *Pool) objectiveOf(b *batch, longest time.Duration) objective {
+// objectiveOf computes the objective of a batch from its stretch and slack.
+func (p *Pool) objectiveOf(b *batch, longest time.Duration) latencyObjective {
 	if b.meta.Stretch <= 0 || p.opts.NoObjectives {
-		return objective{}
+		return latencyObjective{}
 	}
 	within := time.Duration(b.meta.Stretch*float64(longest)) + b.meta.Slack
-	need := time.Duration((1 + startDoubt) * float64(longest))
-	return objective{
-		meets:   b.arrived.Add(within - need),
-		useless: b.arrived.Add(job.UsefulFor*within - longest),
+	need := time.Duration((1 + runTimeMargin) * float64(longest))
+	return latencyObjective{
+		latestStart:       b.arrived.Add(within - need),
+		latestUsefulStart: b.arrived.Add(job.UsefulFor*within - longest),
 	}
 }
 
-// begun reports whether work was done for the job that is lost if its rest does
-// not start in time. A task that comes back late, after a start that got no
-// answer, often finds its siblings done and none running; those that other holders
-// have taken run there.
-func (b *batch) begun() bool { return b.meta.Committed || b.running > 0 || b.done > 0 }
+// hasProgress reports whether some of the job's work is already running or done,
+// and would be lost if the remaining tasks do not start in time. Checking for
+// running tasks alone is not enough: when a task is queued again after an
+// unanswered start request, its siblings are often done, or run at other holders.
+func (b *batch) hasProgress() bool { return b.meta.Committed || b.running > 0 || b.done > 0 }
 
-// objectiveOrder ranks a batch with an objective. The rest of a job that is begun keeps its
-// place when it is late: the time of the tasks that ran would be lost with it. It goes
-// before no other for that, or long jobs would hold up what is in more of a hurry.
+// objectiveOrder returns the position of a batch with an objective in the queue. A
+// late job that has progress keeps its position, since the work of the tasks that ran
+// would be lost with it. It does not move ahead of other jobs, or long jobs would
+// delay more urgent ones.
 func (p *Pool) objectiveOrder(b *batch) int64 {
-	at := b.goal.meets
-	if b.goal.late && (!b.begun() || p.opts.NoBegunKept) {
-		at = at.Add(lateShift)
+	at := b.objective.latestStart
+	if b.objective.late && (!b.hasProgress() || p.opts.NoBegunKept) {
+		at = at.Add(lateOrderShift)
 	}
 	return at.UnixNano()
 }
 
-// passOver lets the jobs that can't meet their objective any more wait behind
-// those that can.
-func (p *Pool) passOver(now time.Time) {
+// demoteLate moves the jobs that can no longer meet their objective behind those
+// that can.
+func (p *Pool) demoteLate(now time.Time) {
 	for u := range p.classes {
 		for _, lane := range p.classes[u].lanes {
 			for {
@@ -78,19 +79,19 @@
 					break
 				}
 				b := head.Value
-				if !b.goal.set() || b.goal.late || b.begun() && !p.opts.NoBegunKept || !now.After(b.goal.meets) {
+				if !b.objective.set() || b.objective.late || b.hasProgress() && !p.opts.NoBegunKept || !now.After(b.objective.latestStart) {
 					break
 				}
-				b.goal.late = true
+				b.objective.late = true
 				p.reorder(b)
 			}
 		}
 	}
 }
 
-// reorder gives a waiting batch the place that it has now.
+// reorder updates the position of a queued batch.
 func (p *Pool) reorder(b *batch) {
-	if !b.goal.set() || !b.item.Waiting() {
+	if !b.objective.set() || !b.item.Waiting() {
 		return
 	}
 	order := p.objectiveOrder(b)
@@ -103,74 +104,76 @@
 	lane.Push(b.team, &b.item)
 }
 
-// slackStep is the weight of one job in the pool's mean slack.
-const slackStep = 0.02
+// slackWeight is the weight of one job in the moving average of the pool's slack.
+const slackWeight = 0.02
 
-// admitObjective decides on a batch with an objective: it is refused at once if it
-// is not expected to meet it, so that its caller can turn elsewhere in time.
+// admitObjective decides on the admission of a batch with an objective. A batch that
+// is not expected to meet its objective is refused on arrival, so that its caller can
+// try elsewhere in time.
 func (p *Pool) admitObjective(now time.Time, b *batch) Verdict {
-	slack := b.goal.meets.Sub(b.arrived)
-	p.meanSlack += slackStep * (slack.Seconds() - p.meanSlack)
-	wait := p.waitOf(b, slack)
-	part := p.patience.Part(b.meta.Service)
+	slack := b.objective.latestStart.Sub(b.arrived)
+	p.meanSlack += slackWeight * (slack.Seconds() - p.meanSlack)
+	wait := p.expectedWait(b, slack)
+	fraction := p.patience.Part(b.meta.Service)
 	if p.opts.NoPatience {
-		part = 1
+		fraction = 1
 	}
-	bearable := time.Duration(part * float64(slack))
-	// One that starts now could not fare better elsewhere or later.
-	admitted := wait == 0 || wait <= bearable
+	maxWait := time.Duration(fraction * float64(slack))
+	// A batch that can start now could not finish earlier elsewhere.
+	admitted := wait == 0 || wait <= maxWait
 	p.patience.Decided(b.meta.Service, admitted)
 	if admitted {
-		return p.admitUseful(now, b, wait)
+		return p.admitIfUseful(now, b, wait)
 	}
 	return Verdict{
 		Reason:     job.Overloaded,
-		Detail:     "the expected wait of " + wait.Round(time.Millisecond).String() + " is more than " + bearable.Round(time.Millisecond).String() + " of the " + slack.Round(time.Millisecond).String() + " that the objective leaves",
-		RetryAfter: p.spread(max(wait, leastReturn)),
+		Detail:     "the expected wait of " + wait.Round(time.Millisecond).String() + " is more than " + maxWait.Round(time.Millisecond).String() + " of the " + slack.Round(time.Millisecond).String() + " that the objective leaves",
+		RetryAfter: p.addJitter(max(wait, minRetryAfter)),
 	}
 }
 
-// admitUseful takes a batch in, unless what runs goes on for so long that its answer would
-// come when it is of no use.
-func (p *Pool) admitUseful(now time.Time, b *batch, wait time.Duration) Verdict {
+// admitIfUseful accepts a batch unless the running tasks are expected to occupy the
+// slots until its answer is no longer useful.
+func (p *Pool) admitIfUseful(now time.Time, b *batch, wait time.Duration) Verdict {
 	if wait == 0 || p.opts.NoExpectedEnds {
 		return Verdict{Accepted: true}
 	}
-	soonest, useful := p.soonest(now, b), b.goal.useless.Sub(now)
-	if soonest <= useful {
+	earliestStart, useful := p.earliestStart(now, b), b.objective.latestUsefulStart.Sub(now)
+	if earliestStart <= useful {
 		return Verdict{Accepted: true}
 	}
 	return Verdict{
 		Reason:     job.Overloaded,
-		Detail:     "what runs goes on for " + soonest.Round(time.Millisecond).String() + ", longer than the " + useful.Round(time.Millisecond).String() + " for which an answer is of use",
-		RetryAfter: p.spread(max(soonest, leastReturn)),
+		Detail:     "what runs goes on for " + earliestStart.Round(time.Millisecond).String() + ", longer than the " + useful.Round(time.Millisecond).String() + " for which an answer is of use",
+		RetryAfter: p.addJitter(max(earliestStart, minRetryAfter)),
 	}
 }
 
-// leastReturn keeps a refused caller from coming back before anything changed:
-// some run times of the usual task.
-const leastReturn = 500 * time.Millisecond
+// minRetryAfter keeps a refused caller from retrying before the load has changed. It
+// is several run times of a typical task.
+const minRetryAfter = 500 * time.Millisecond
 
-// waitOf is the expected time until the whole batch has started: the work that
-// goes before it, and its own, over the slots. A job that can wait for longer than
-// most counts all that is queued, since it would be overtaken.
-func (p *Pool) waitOf(b *batch, slack time.Duration) time.Duration {
-	if p.room >= len(b.tasks) && p.queued == 0 {
+// expectedWait returns the expected time until the whole batch has started: the work
+// ahead of it plus its own, divided by the slots. For a job with more slack than the
+// average, all queued work counts as ahead, since other jobs would overtake it.
+func (p *Pool) expectedWait(b *batch, slack time.Duration) time.Duration {
+	if p.freeCapacity >= len(b.tasks) && p.queued == 0 {
 		return 0
 	}
-	patient := slack.Seconds() > p.meanSlack
+	longSlack := slack.Seconds() > p.meanSlack
 	ahead := b.queuedWork()
 	for _, other := range p.batches {
-		if other.queued() > 0 && !other.goal.late && (patient || other.item.Order <= b.item.Order) {
+		if other.queued() > 0 && !other.objective.late && (longSlack || other.item.Order <= b.item.Order) {
 			ahead += other.queuedWork()
 		}
 	}
 	return time.Duration(ahead / math.Max(1, p.slots) * float64(time.Second))
 }
 
-// noteStart takes in that the last task of a batch starts now, or is given up.
-func (p *Pool) noteStart(now time.Time, b *batch) {
-	if b.goal.set() {
-		p.patience.Started(now.After(b.goal.meets))
+// recordStartLateness records whether the last queued task of a batch was late when
+// it started or expired.
+func (p *Pool) recordStartLateness(now time.Time, b *batch) {
+	if b.objective.set() {
+		p.patience.Started(now.After(b.objective.latestStart))
 	}
 }
--- a/internal/scheduler/objective_test.go
+++ b/internal/scheduler/objective_test.go
@@ -13,7 +13,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// sizedKind is one kind of jobs whose tasks take a large part of a target.
+// sizedKind is a kind of job whose tasks need a large part of a target each.
 type sizedKind struct {
 	group     string
 	perSecond float64
@@ -21,8 +21,8 @@
 	run       time.Duration
 }
 
-// renderMix is the render farm's mix on the 16 targets of one zone, which hold
-// about 37 tasks: 26 slots busy on average.
+// renderMix is the workload of a render farm on the 16 targets of one zone, which
+// hold about 37 tasks: 26 slots are busy on average.
 var renderMix = []sizedKind{
 	{"thumb", 11.5, 8, 60 * time.Millisecond},
 	{"preview", 2.1, 4, 900 * time.Millisecond},
@@ -34,7 +34,8 @@
 	mixSlack   = 60 * time.Millisecond
 )
 
-// sizedLoad draws a mix whose rate is factor times the usual from begin to end.
+// sizedLoad generates arrivals of the given kinds. From begin to end, their rate is
+// multiplied by factor.
 func sizedLoad(seed uint64, kinds []sizedKind, until, begin, end time.Duration, factor float64) []arrival {
 	var out []arrival
 	for i, k := range kinds {
@@ -66,8 +67,8 @@
 	return a
 }
 
-// sizedSim is one zone of the farm: a third of the targets is half as large again,
-// and their speeds differ.
+// sizedSim simulates one zone of the render farm: the targets of rack r1 are 1.5 times
+// as large as the others, and the targets differ in speed.
 func sizedSim(opts Options) *sim {
 	speeds := []float64{1.25, 1, 0.8}
 	workers := map[int]worker{}
@@ -87,8 +88,8 @@
 	return s
 }
 
-// credit is the part of what callers of a group could have that they got: all of
-// it within the objective, a fifth of it within three times that.
+// credit is the mean value of the answers to a group's callers: 1 for an answer within
+// the objective, 0.2 for one within job.UsefulFor times the objective, 0 otherwise.
 func credit(s *sim, group string) float64 {
 	sum, n := 0.0, 0
 	for _, a := range s.answers {
@@ -108,11 +109,12 @@
 	return sum / float64(max(1, n))
 }
 
-// Half of all starts get lost on the way, to every target alike. Targets that answer
-// must go on getting as many tasks as they hold: held back for each loss, they would
-// run one task at a time, and callers would be refused before targets that are idle.
-// A single target that takes no start is held back, or it would draw everything.
-func TestLostStartsHoldNoTargetBack(t *testing.T) {
+// Half of all start requests are lost, for every target alike. Targets that answer
+// must keep getting as many tasks as they have slots. Guards against targets that are
+// quarantined for each loss: they would run one task at a time, and callers would be
+// refused while targets are idle. A single target that answers no start request is
+// quarantined, since it looks idle and would attract all tasks.
+func TestLostStartsQuarantineNoTarget(t *testing.T) {
 	lost := Result{Status: job.TaskNotStarted, Unanswered: true}
 	p := smallPool(4, 2)
 	now := 0
@@ -145,11 +147,11 @@
 	qt.Assert(t, p.targets["w00"].health.Quarantined(), qt.IsTrue)
 }
 
-// One task of a job comes back unstarted, since its target never answered, when its
-// sibling is done and the job can't meet its objective any more. It goes before jobs
-// that are not begun: put behind them, in a crowd it would wait until its answer is
-// of no use, and the work that was done would be lost with the caller's time.
-func TestRestOfAJobWithResultsGoesFirst(t *testing.T) {
+// One task of a job is queued again because its target never answered. Its sibling is
+// done, and the job can no longer meet its objective. The task must start before jobs
+// that have not started. Guards against a task that, under load, waits behind them
+// until its answer is no longer useful, so that the work already done is lost.
+func TestJobWithResultsGoesFirst(t *testing.T) {
 	timed := func(id string, n int) *job.Batch {
 		b := batchOf(id, "thumb", n)
 		b.Stretch, b.Slack = mixStretch, mixSlack
@@ -168,17 +170,16 @@
 	qt.Assert(t, fills, qt.HasLen, 1)
 	qt.Assert(t, p.Offer(at(190), timed("fresh", 1)).Accepted, qt.IsTrue)
 	qt.Assert(t, p.Retry(at(200), started[1].Key, Result{Status: job.TaskNotStarted}), qt.IsTrue)
-	qt.Assert(t, p.Next(at(200)).Starts, qt.HasLen, 0) // the target that did not answer rests
+	qt.Assert(t, p.Next(at(200)).Starts, qt.HasLen, 0) // the target that did not answer gets no task yet
 	p.Finished(at(210), fills[0].Key, ranFor(150*time.Millisecond))
 	next := p.Next(at(210)).Starts
 	qt.Assert(t, next, qt.HasLen, 1)
 	qt.Assert(t, next[0].Submission, qt.Equals, job.ID("begun"))
 }
 
-// Everybody comes at once for four seconds: half as much again as the pool can do.
-// Served in order of arrival nearly all answers come late together, and for
-// seconds after the burst; counted in slots the pool takes in three times what it
-// can do.
+// For four seconds, the load is 1.5 times the capacity of the pool. Served in order of
+// arrival, nearly all answers are late, also for seconds after the burst. With capacity
+// counted in slots, the pool admits three times the work that it can do.
 func TestObjectivesInABurst(t *testing.T) {
 	play := func(opts Options) *sim {
 		s := sizedSim(opts)
@@ -205,9 +206,9 @@
 	}
 }
 
-// The pool is full for a minute. What can't be answered in time must be refused
-// with a time to return, and nothing may be held for longer than its answer is of
-// use.
+// The pool is overloaded for a minute. Jobs that can't be answered in time must be
+// refused with a retry delay, and no job may be kept after its answer is no longer
+// useful.
 func TestObjectivesUnderLongOverload(t *testing.T) {
 	s := sizedSim(Options{})
 	s.run(sizedLoad(5, renderMix, time.Minute, 0, time.Minute, 2))
@@ -225,9 +226,10 @@
 	qt.Assert(t, credit(s, "") > 0.4, qt.IsTrue)
 }
 
-// A task needs more than half of a target. Placed on the emptiest one, two such
-// tasks leave a gap on each of two targets into which nothing fits.
-func TestPlacementLeavesNoUselessGap(t *testing.T) {
+// Some tasks need more than half of a target. Guards against placement on the least
+// occupied target, which can leave a gap on each of two targets into which no such
+// task fits.
+func TestPlacementAvoidsFragmentation(t *testing.T) {
 	p := New("p", 1)
 	p.Configure(epoch, testFile())
 	for _, id := range []job.TargetID{"a", "b"} {
@@ -248,11 +250,11 @@
 	qt.Assert(t, first != "" && second != "", qt.IsTrue)
 	third := place("j3", 20000)
 	fourth := place("j4", 20000)
-	qt.Assert(t, third != "" && fourth != "", qt.IsTrue, qt.Commentf("the large tasks found no room"))
+	qt.Assert(t, third != "" && fourth != "", qt.IsTrue, qt.Commentf("the large tasks fit no target"))
 }
 
-// All places are taken by tasks of five seconds, and nothing waits, when a job of a tenth of
-// a second comes. Its caller is told at once when to come back, and not when its answer has
+// Tasks of five seconds occupy all slots and the queue is empty when a job of 100 ms arrives.
+// Its caller must receive a refusal with a retry delay on arrival, not after its answer has
 // become useless.
 func TestJobBehindLongTasksIsRefusedAtOnce(t *testing.T) {
 	timed := func(id string, n int, run time.Duration) *job.Batch {
--- a/internal/scheduler/offer.go
+++ b/internal/scheduler/offer.go
@@ -10,11 +10,11 @@
 	"github.com/vanillagrade/vanillagrade/internal/policy/fairqueue"
 )
 
-// noTargetRetry is when to come back to a pool without a target: targets
-// renew their announcement within this time.
+// noTargetRetry is the delay after which callers retry on a pool without targets:
+// targets renew their announcements within this time.
 const noTargetRetry = time.Second
 
-// Offer admits all tasks of the batch or none.
+// Offer admits all tasks of a batch or none.
 func (p *Pool) Offer(now time.Time, m *job.Batch) Verdict {
 	key := batchKey{m.Owner, m.Submission}
 	if old := p.batches[key]; old != nil {
@@ -36,16 +36,16 @@
 		}
 	}
 	b := p.newBatch(now, key, m)
-	p.mix.Offered(now, b.long, len(b.tasks), time.Duration(b.queuedWork()*float64(time.Second)))
+	p.shortReserve.Offered(now, b.long, len(b.tasks), time.Duration(b.queuedWork()*float64(time.Second)))
 	if v := p.admit(now, b); !v.Accepted && !(m.Committed && v.Reason == job.Overloaded) {
 		return v
 	}
 	if !p.opts.NoAlone {
-		b.takeSuspects()
+		b.queueSuspectsFirst()
 	}
 	p.batches[key] = b
 	p.enqueue(now, b)
-	p.watchDeadline(b)
+	p.updateDeadline(b)
 	return Verdict{Accepted: true}
 }
 
@@ -55,8 +55,8 @@
 		key: key, meta: m, team: m.Team, class: p.classOf(svc), arrived: now.Add(-m.Waited),
 		flagLate: svc.FlagLate, repeatable: svc.Repeatable,
 	}
-	// Without teams in the file all callers are one team: names that callers
-	// make up would each be a quiet team with nothing waiting, and never refused.
+	// If no teams are configured, all callers count as one team. Otherwise each name
+	// that a caller invents would be a team without queued work, and never refused.
 	if p.opts.NoFairness || p.file == nil || len(p.file.Teams) == 0 {
 		b.team = ""
 	}
@@ -79,64 +79,65 @@
 // expect returns the expected run time of a task.
 func (p *Pool) expect(now time.Time, b *batch, t *task) time.Duration {
 	if !p.opts.NoEstimates && b.meta.Stretch > 0 {
-		return p.book.Blend(now, t.kind(b), t.declared())
+		return p.estimates.Blend(now, t.kind(b), t.declaredRun())
 	}
 	if !p.opts.NoEstimates {
-		return p.book.Mean(now, t.kind(b), t.declared())
+		return p.estimates.Mean(now, t.kind(b), t.declaredRun())
 	}
-	if d := t.declared(); d > 0 {
+	if d := t.declaredRun(); d > 0 {
 		return d
 	}
-	return p.book.PoolMean()
+	return p.estimates.PoolMean()
 }
 
-// rankBatch sets the batch's place among its team's jobs, and whether it is
-// held to the slots that long tasks may take.
+// rankBatch sets the position of a batch among its team's jobs, and whether it is
+// limited to the slots that long tasks may use.
 func (p *Pool) rankBatch(b *batch) {
 	longest := b.tasks[b.order[0]].expected
-	if b.goal = p.objectiveOf(b, longest); b.goal.set() {
+	if b.objective = p.objectiveOf(b, longest); b.objective.set() {
 		p.rankByObjective(b, longest)
 		return
 	}
-	threshold := p.book.LongThreshold()
+	threshold := p.estimates.LongThreshold()
 	b.long = !p.opts.NoReserve && threshold > 0 && longest > threshold
 	p.seq++
 	b.item = fairqueue.Item[*batch]{Value: b, Order: b.arrived.UnixNano(), Seq: p.seq}
 	if p.opts.NoJobOrder {
-		return // all jobs are of one size then, as far as the order goes
+		return // isolatedRun stays zero: all jobs are of one size class
 	}
-	alone := time.Duration(b.queuedWork() / max(1, p.slots) * float64(time.Second))
-	b.own = max(longest, alone)
-	b.item.Order = fairqueue.Order(b.arrived, b.own, b.deadline)
+	parallelRun := time.Duration(b.queuedWork() / max(1, p.slots) * float64(time.Second))
+	b.isolatedRun = max(longest, parallelRun)
+	b.item.Order = fairqueue.Order(b.arrived, b.isolatedRun, b.deadline)
 }
 
 func (p *Pool) rankByObjective(b *batch, longest time.Duration) {
-	b.own = longest
-	if b.deadline.IsZero() || b.goal.useless.Before(b.deadline) {
-		b.deadline = b.goal.useless
+	b.isolatedRun = longest
+	if b.deadline.IsZero() || b.objective.latestUsefulStart.Before(b.deadline) {
+		b.deadline = b.objective.latestUsefulStart
 		b.flagLate = false
 	}
 	p.seq++
 	b.item = fairqueue.Item[*batch]{Value: b, Order: p.objectiveOrder(b), Seq: p.seq}
 }
 
-// Each class may fill the queue only so far beyond what is free: batch work as
-// much as the free part, interactive work four times as much. A flood then
-// leaves room for the classes and teams above it.
+// queueFactor limits the queued tasks of a class to a multiple of the free part of
+// the queue: once for batch work, four times for interactive work, no limit for
+// urgent work. A flood then leaves part of the queue to the more urgent classes and
+// their teams.
 var queueFactor = [classes]int{job.UrgencyBatch: 1, job.UrgencyInteractive: 4}
 
 func (p *Pool) admit(now time.Time, b *batch) Verdict {
 	free := p.maxQueued() - p.queued - len(b.tasks)
 	c := &p.classes[b.class]
 	factor := queueFactor[b.class]
-	crowded := !p.opts.NoAdmission && !b.goal.set() && factor > 0 && c.queued > 0 && c.queued+len(b.tasks) > factor*(free+len(b.tasks))
+	crowded := !p.opts.NoAdmission && !b.objective.set() && factor > 0 && c.queued > 0 && c.queued+len(b.tasks) > factor*(free+len(b.tasks))
 	if (free < 0 && p.queued > 0) || crowded {
 		return Verdict{Reason: job.QueueFull, Detail: "the queue of pool " + p.name + " is full", RetryAfter: p.drainTime(len(b.tasks) - min(0, free))}
 	}
 	if p.opts.NoAdmission {
 		return Verdict{Accepted: true}
 	}
-	if b.goal.set() {
+	if b.objective.set() {
 		return p.admitObjective(now, b)
 	}
 	v := admission.Decide(p.backlog(now, b), p.request(now, b))
@@ -144,20 +145,20 @@
 		return Verdict{Accepted: true}
 	}
 	detail := fmt.Sprintf("expected wait %v, expected end after %v", v.Wait.Round(time.Millisecond), v.Finish.Round(time.Millisecond))
-	return Verdict{Reason: v.Reason, Detail: detail, RetryAfter: p.spread(v.RetryAfter)}
+	return Verdict{Reason: v.Reason, Detail: detail, RetryAfter: p.addJitter(v.RetryAfter)}
 }
 
-// retrySpread is by how much a told wait is drawn out at most, so that callers
-// refused in the same moment don't come back in the same moment.
-const retrySpread = 0.25
+// retryJitter is the largest random increase of a retry delay, as a fraction of it,
+// so that callers refused at the same moment don't retry at the same moment.
+const retryJitter = 0.25
 
-func (p *Pool) spread(d time.Duration) time.Duration {
-	return d + time.Duration(retrySpread*p.rand.Float64()*float64(d))
+func (p *Pool) addJitter(d time.Duration) time.Duration {
+	return d + time.Duration(retryJitter*p.rand.Float64()*float64(d))
 }
 
-// drainTime is how long the pool takes to start so many tasks.
+// drainTime returns the expected time in which the pool starts so many tasks.
 func (p *Pool) drainTime(tasks int) time.Duration {
-	perTask := p.book.PoolMean().Seconds() / max(1, p.slots)
+	perTask := p.estimates.PoolMean().Seconds() / max(1, p.slots)
 	return max(100*time.Millisecond, time.Duration(float64(tasks)*perTask*float64(time.Second)))
 }
 
@@ -168,17 +169,17 @@
 	return config.DefaultMaxQueuedTasks
 }
 
-// ownQueue is the part of its slots for which a team may have tasks waiting
-// without being counted among those that keep the queue standing.
-const ownQueue = 0.25
+// teamQueueAllowance is the number of queued tasks, as a fraction of the slots of its
+// share, up to which a team does not count as a cause of the standing queue.
+const teamQueueAllowance = 0.25
 
-// backlog is what stands before the batch. A long one waits for the slots that
-// long tasks may take, behind other long ones; a short one uses what those
-// leave.
+// backlog returns the work and the slots that determine the wait of a batch. A long
+// batch waits behind other long ones for the slots that long tasks may use; a short
+// batch uses the slots that long tasks leave.
 func (p *Pool) backlog(now time.Time, b *batch) admission.Backlog {
 	c := &p.classes[b.class]
-	out := admission.Backlog{Slots: int(p.slots), Free: p.room, Team: c.team(b.team).ahead(b.ownClass()), Share: c.lanes[b.lane()].Share(b.team)}
-	if float64(c.team(b.team).queued+len(b.tasks)) > ownQueue*out.Share*p.slots {
+	out := admission.Backlog{Slots: int(p.slots), Free: p.freeCapacity, Team: c.team(b.team).ahead(b.sizeClass()), Share: c.lanes[b.lane()].Share(b.team)}
+	if float64(c.team(b.team).queued+len(b.tasks)) > teamQueueAllowance*out.Share*p.slots {
 		out.Standing = c.standing(now)
 	}
 	for u := int(b.class) + 1; u < classes; u++ {
@@ -187,17 +188,17 @@
 	if b.class != job.UrgencyUrgent {
 		out.Least, out.LeastAfter = agedShare*p.slots, agedAfter[b.class]
 	}
-	cap := p.maxLong(now)
+	maxLong := p.maxLong(now)
 	if b.long {
-		out.Slots = min(out.Slots, cap)
-		out.Free = min(out.Free, cap-p.longRuns)
+		out.Slots = min(out.Slots, maxLong)
+		out.Free = min(out.Free, maxLong-p.longRunning)
 		out.Class = c.work[laneLong]
 		for u := int(b.class) + 1; u < classes; u++ {
 			out.Higher += p.classes[u].work[laneLong]
 		}
 		return out
 	}
-	out.Slots -= p.longRunsBelow(b.class)
+	out.Slots -= p.longRunningUpTo(b.class)
 	out.Class = c.work[laneShort]
 	for u := int(b.class) + 1; u < classes; u++ {
 		out.Higher += p.classes[u].work[laneShort]
@@ -205,12 +206,13 @@
 	return out
 }
 
-// longRunsBelow is how many slots long tasks hold that are not of a more urgent
-// class: those are counted already.
-func (p *Pool) longRunsBelow(u job.Urgency) int {
+// longRunningUpTo returns the number of slots that long tasks of the given class and
+// less urgent ones occupy. The caller has already subtracted those of more urgent
+// classes.
+func (p *Pool) longRunningUpTo(u job.Urgency) int {
 	n := 0
 	for v := range int(u) + 1 {
-		n += p.classes[v].longRuns
+		n += p.classes[v].longRunning
 	}
 	return n
 }
@@ -219,7 +221,7 @@
 	if p.opts.NoReserve {
 		return int(p.slots)
 	}
-	short := p.running - p.longRuns
+	short := p.running - p.longRunning
 	shortTeams, longTeams := 0.0, 0.0
 	for u := range p.classes {
 		c := &p.classes[u]
@@ -231,18 +233,19 @@
 	if longTeams > 0 {
 		share = longTeams / (shortTeams + longTeams)
 	}
-	return p.mix.MaxLong(now, int(p.slots), min(short, int(p.slots)), share)
+	return p.shortReserve.MaxLong(now, int(p.slots), min(short, int(p.slots)), share)
 }
 
 func (p *Pool) request(now time.Time, b *batch) admission.Request {
 	longest := &b.tasks[b.order[0]]
 	r := admission.Request{Urgency: b.class, Tasks: len(b.tasks), Work: b.queuedWork()}
-	// A declared or assumed run time is no ground to refuse a deadline.
+	// Only measured run times may lead to a refusal because of the deadline, not
+	// declared or assumed ones.
 	switch kind := longest.kind(b); {
 	case p.opts.NoEstimates:
 		r.Longest = longest.expected
-	case p.book.Sure(now, kind):
-		r.Longest = max(longest.expected, p.book.Longest(kind, len(b.tasks)))
+	case p.estimates.Sure(now, kind):
+		r.Longest = max(longest.expected, p.estimates.Longest(kind, len(b.tasks)))
 	}
 	if !b.deadline.IsZero() && !b.flagLate {
 		r.Remaining = max(1, b.deadline.Sub(now))
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -1,46 +1,48 @@
 package scheduler
 
-// Options switches single decisions off, so that their worth can be measured
-// against the same load. The zero value has every decision on; entries use it.
+// Options disables individual policies so that the effect of each can be
+// measured under the same load. The zero value enables all; entries use it.
 type Options struct {
-	// NoFairness serves tasks in order of arrival, whatever team or class.
+	// NoFairness ignores teams, so that all callers share one queue for each class.
 	NoFairness bool
-	// NoClasses serves urgent work no earlier than other work.
+	// NoClasses ignores the urgency class of services.
 	NoClasses bool
 	// NoJobOrder serves the jobs of one team in order of arrival.
 	NoJobOrder bool
-	// NoHeadroom lets teams above their share take the last free slots.
+	// NoHeadroom lets teams above their share use the last free slots.
 	NoHeadroom bool
-	// NoAdmission accepts whatever the bounded queue still takes.
+	// NoAdmission accepts every batch that fits into the bounded queue.
 	NoAdmission bool
-	// NoHealth never holds work back from a slow or failing target.
+	// NoHealth uses slow and failing targets like all others.
 	NoHealth bool
-	// NoReserve lets long tasks take every slot.
+	// NoReserve lets long tasks use every slot.
 	NoReserve bool
-	// NoEstimates believes declared run times in place of measured ones.
+	// NoEstimates uses declared run times instead of measured ones.
 	NoEstimates bool
-	// NoObjectives serves jobs with a latency objective like all others.
+	// NoObjectives ignores the latency objectives of jobs.
 	NoObjectives bool
-	// NoSizes counts slots where sizes bind, and places by occupancy alone.
+	// NoSizes measures capacity in slots even where task sizes limit it, and places
+	// tasks by occupancy alone.
 	NoSizes bool
-	// NoExpectedEnds takes in a job with an objective also where what runs goes on for
-	// longer than its answer is of use.
+	// NoExpectedEnds accepts a job with an objective even if the running tasks are
+	// expected to occupy the slots until its answer is no longer useful.
 	NoExpectedEnds bool
-	// NoPatience lets a job with an objective wait for all of its slack, whatever kind it
-	// is of and however late others started.
+	// NoPatience lets a job with an objective wait for all of its slack, regardless of
+	// its service and of how late other jobs started.
 	NoPatience bool
-	// NoBegunKept lets the rest of a begun job fall behind others when it is late.
+	// NoBegunKept lets the remaining tasks of a partly executed job move behind other
+	// jobs when it is late.
 	NoBegunKept bool
-	// NoAlone runs suspected tasks beside others.
+	// NoAlone runs suspected tasks together with others.
 	NoAlone bool
-	// Placement chooses among the targets that have room.
+	// Placement selects among the targets with free capacity.
 	Placement Placement
 }
 
-// Placement is a way to choose among the targets that have room.
+// Placement is a strategy for selecting among the targets with free capacity.
 type Placement int
 
-// The ways of placement. All but the first are baselines.
+// The placement strategies. All but the first are baselines for comparison.
 const (
 	PlaceExpectedFinish Placement = iota
 	PlaceRandom
@@ -48,7 +50,7 @@
 )
 
 // Baseline returns the options of a plain dispatcher: first come first served,
-// random placement, no admission.
+// random placement, no admission control.
 func Baseline() Options {
 	return Options{
 		NoFairness: true, NoHeadroom: true, NoClasses: true, NoJobOrder: true, NoAdmission: true,
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -7,61 +7,63 @@
 )
 
 const (
-	// placeChoices is how many of the least occupied targets with room are
-	// compared for their rack. Eight targets make a rack today, so eight
-	// choices among equals usually reach several racks.
-	placeChoices = 8
-	// placeVisits bounds the search among targets whose slots are free but
-	// whose room is too small, before all are looked through once.
-	placeVisits = 32
+	// maxCandidates is the number of least occupied targets with free capacity that
+	// are compared by rack. A rack holds eight targets today, so eight equally
+	// occupied candidates usually come from several racks.
+	maxCandidates = 8
+	// maxVisits bounds the search in heap order among targets that have free slots
+	// but not enough free capacity. After that, all targets are searched once.
+	maxVisits = 32
 )
 
 // place returns the target for a task among those of the given tier or
-// better, or nil.
+// better, or nil if the task fits none.
 func (p *Pool) place(b *batch, t *task, worst tier) *target {
 	if p.opts.Placement != PlaceExpectedFinish {
 		return p.placeBaseline(t)
 	}
-	if p.noRoom[t.size] {
+	if p.unplaceable[t.size] {
 		return nil
 	}
-	if p.usual.seen > 0 && p.ranked.Len() > 0 && p.usual.sized(p.ranked.Min()) {
+	if p.meanSize.seen > 0 && p.ranked.Len() > 0 && p.meanSize.boundBySize(p.ranked.Min()) {
 		best := p.placeSized(b, t, worst)
-		p.noteNoRoom(t, best, worst)
+		p.noteUnplaceable(t, best, worst)
 		return best
 	}
 	best, visited := p.placeRanked(b, t, worst)
-	if best == nil && visited >= placeVisits {
-		best = p.placeAny(b, t, worst)
+	if best == nil && visited >= maxVisits {
+		best = p.placeExhaustive(b, t, worst)
 	}
-	p.noteNoRoom(t, best, worst)
+	p.noteUnplaceable(t, best, worst)
 	return best
 }
 
-// noteNoRoom remembers a size that found no room, until something changes.
-func (p *Pool) noteNoRoom(t *task, found *target, worst tier) {
-	if found == nil && len(t.avoid) == 0 && !t.suspect && worst < slow && p.kept == nil {
-		p.noRoom[t.size] = true
+// noteUnplaceable records that a task of this size fits no target, until a target
+// or its load changes.
+func (p *Pool) noteUnplaceable(t *task, found *target, worst tier) {
+	if found == nil && len(t.avoid) == 0 && !t.suspect && worst < slow && p.reservedFor == nil {
+		p.unplaceable[t.size] = true
 	}
 }
 
-func (p *Pool) fits(b *batch, t *task, tg *target, worst tier) bool {
-	if tg.tier > worst || !tg.hasRoom(t.size) {
+func (p *Pool) canPlace(b *batch, t *task, tg *target, worst tier) bool {
+	if tg.tier > worst || !tg.canFit(t.size) {
 		return false
 	}
-	if tg.kept != nil && tg.kept != b || b.waitsForSuspect(t) {
+	if tg.reservedFor != nil && tg.reservedFor != b || b.waitsForSuspect(t) {
 		return false
 	}
-	if t.suspect && (tg.running > 0 || tg.foreign > 0) {
+	if t.suspect && (tg.running > 0 || tg.inherited > 0) {
 		return false
 	}
 	return !slices.Contains(t.avoid, tg) || p.refusedByAll(t)
 }
 
-// refusedByAll reports whether no target is left that could ever hold the task
-// and has not refused it; then all are asked again, and the gaps that health
-// sets decide when. It is looked at whenever an avoided target comes up, since
-// targets leave: a task that waits for one that left would wait for ever.
+// refusedByAll reports whether every target that could hold the task has refused
+// it. The task then no longer avoids any target, and the probe intervals of the
+// targets determine when it is tried again. The check runs for each avoided target
+// that is considered, since targets can be removed: a task that waits for a removed
+// target would wait for ever.
 func (p *Pool) refusedByAll(t *task) bool {
 	for i := range p.ranked.Len() {
 		tg := p.ranked.At(i)
@@ -73,14 +75,14 @@
 	return true
 }
 
-// placeRanked walks the heap of targets from its top. A child never ranks
-// before its parent, so the walk meets the least occupied ones early, and it
-// ends where the slots are full.
+// placeRanked searches the heap of targets breadth first. A child never ranks
+// before its parent, so the search visits the least occupied targets early and
+// does not descend below targets whose slots are full.
 func (p *Pool) placeRanked(b *batch, t *task, worst tier) (best *target, visited int) {
-	p.walk = append(p.walk[:0], 0)
+	p.walkBuffer = append(p.walkBuffer[:0], 0)
 	found := 0
-	for n := 0; n < len(p.walk) && visited < placeVisits && found < placeChoices; n++ {
-		i := p.walk[n]
+	for n := 0; n < len(p.walkBuffer) && visited < maxVisits && found < maxCandidates; n++ {
+		i := p.walkBuffer[n]
 		if i >= p.ranked.Len() {
 			continue
 		}
@@ -89,8 +91,8 @@
 			continue
 		}
 		visited++
-		p.walk = append(p.walk, 2*i+1, 2*i+2)
-		if !p.fits(b, t, tg, worst) {
+		p.walkBuffer = append(p.walkBuffer, 2*i+1, 2*i+2)
+		if !p.canPlace(b, t, tg, worst) {
 			continue
 		}
 		found++
@@ -104,9 +106,9 @@
 	return best, visited
 }
 
-// betterFor prefers the emptier target, and among equally occupied ones the
-// rack with the fewest tasks of this job: when a rack fails or slows down,
-// fewer jobs should lose more than one task to it.
+// betterFor prefers the less occupied target, and among equally occupied ones the
+// rack with the fewest tasks of this job: when a rack fails or slows down, fewer
+// jobs lose more than one task to it.
 func betterFor(b *batch, x, y *target) bool {
 	if x.tier != y.tier {
 		return x.tier < y.tier
@@ -120,18 +122,18 @@
 	return rankLess(x, y)
 }
 
-func (p *Pool) placeAny(b *batch, t *task, worst tier) *target {
+func (p *Pool) placeExhaustive(b *batch, t *task, worst tier) *target {
 	var best *target
 	for i := range p.ranked.Len() {
 		tg := p.ranked.At(i)
-		if p.fits(b, t, tg, worst) && (best == nil || rankLess(tg, best)) {
+		if p.canPlace(b, t, tg, worst) && (best == nil || rankLess(tg, best)) {
 			best = tg
 		}
 	}
 	return best
 }
 
-// placeBaseline is random or round robin, for comparison only.
+// placeBaseline places randomly or round robin, for comparison only.
 func (p *Pool) placeBaseline(t *task) *target {
 	n := p.ranked.Len()
 	if n == 0 {
@@ -143,17 +145,17 @@
 	var best *target
 	for i := range n {
 		tg := p.ranked.At(i)
-		if !tg.hasRoom(t.size) {
+		if !tg.canFit(t.size) {
 			continue
 		}
-		// Targets in order of name, starting after the last one used.
-		if best == nil || (tg.ID > p.last) != (best.ID > p.last) && tg.ID > p.last ||
-			(tg.ID > p.last) == (best.ID > p.last) && tg.ID < best.ID {
+		// Round robin in order of target ID, starting after the last one used.
+		if best == nil || (tg.ID > p.lastTarget) != (best.ID > p.lastTarget) && tg.ID > p.lastTarget ||
+			(tg.ID > p.lastTarget) == (best.ID > p.lastTarget) && tg.ID < best.ID {
 			best = tg
 		}
 	}
 	if best != nil {
-		p.last = best.ID
+		p.lastTarget = best.ID
 	}
 	return best
 }
@@ -161,46 +163,46 @@
 func (p *Pool) placeRandom(t *task, n int) *target {
 	from := p.rand.IntN(n)
 	for k := range n {
-		if tg := p.ranked.At((from + k) % n); tg.hasRoom(t.size) {
+		if tg := p.ranked.At((from + k) % n); tg.canFit(t.size) {
 			return tg
 		}
 	}
 	return nil
 }
 
-// feasible reports whether any target here could ever hold a task this large. A room that
-// has shrunk may grow again.
+// feasible reports whether any target of this pool could hold a task of this size, by the
+// largest size that each has announced: a size that has shrunk may grow again.
 func (p *Pool) feasible(s job.Size) bool {
-	if p.roomsStale {
-		p.findRooms()
+	if p.maxSizesStale {
+		p.findMaxSizes()
 	}
-	for _, room := range p.rooms {
-		if s.Fits(room) {
+	for _, size := range p.maxSizes {
+		if s.Fits(size) {
 			return true
 		}
 	}
 	return false
 }
 
-// findRooms collects the rooms that no other room covers. Targets of a pool
-// come in a few sizes, so this is a handful.
-func (p *Pool) findRooms() {
-	p.roomsStale = false
-	p.rooms = p.rooms[:0]
+// findMaxSizes collects the target sizes that fit into no other target size. The
+// targets of a pool have only a few different sizes, so the list is short.
+func (p *Pool) findMaxSizes() {
+	p.maxSizesStale = false
+	p.maxSizes = p.maxSizes[:0]
 	for i := range p.ranked.Len() {
-		p.addRoom(p.ranked.At(i).nominal)
+		p.addMaxSize(p.ranked.At(i).largestAnnounced)
 	}
 }
 
-func (p *Pool) addRoom(room job.Size) {
-	kept := p.rooms[:0]
-	for _, r := range p.rooms {
-		if room.Fits(r) {
+func (p *Pool) addMaxSize(size job.Size) {
+	kept := p.maxSizes[:0]
+	for _, r := range p.maxSizes {
+		if size.Fits(r) {
 			return
 		}
-		if !r.Fits(room) {
+		if !r.Fits(size) {
 			kept = append(kept, r)
 		}
 	}
-	p.rooms = append(kept, room)
+	p.maxSizes = append(kept, size)
 }
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -18,7 +18,7 @@
 
 const classes = int(job.UrgencyUrgent) + 1
 
-// The lanes of a class.
+// The lanes of a class separate short tasks from long ones.
 const (
 	laneShort = iota
 	laneLong
@@ -29,33 +29,34 @@
 type class struct {
 	lanes [lanes]*fairqueue.Queue[*batch]
 	// work is the expected run time of the queued tasks in seconds, by lane.
-	work     [lanes]float64
-	waiting  [lanes]int
-	teams    map[string]*teamWork
-	queued   int
-	running  int
-	longRuns int
-	// since is when the class last had no waiting task.
-	since time.Time
+	work        [lanes]float64
+	waiting     [lanes]int
+	teams       map[string]*teamWork
+	queued      int
+	running     int
+	longRunning int
+	// standingSince is when the class last had no queued task.
+	standingSince time.Time
 }
 
-// standing is for how long tasks of the class have waited without a break.
+// standing returns for how long the queue of the class has not been empty.
 func (c *class) standing(now time.Time) time.Duration {
 	if c.queued == 0 {
 		return 0
 	}
-	return now.Sub(c.since)
+	return now.Sub(c.standingSince)
 }
 
-// teamWork is one team's queued work in seconds, by the size of its jobs.
+// teamWork is the queued work of one team in seconds, by size class of its jobs.
 type teamWork struct {
 	queued int
-	bySize [ownClasses]float64
+	bySize [sizeClasses]float64
 }
 
-// count adds to a team's queued work. A team of which none waits is forgotten:
-// where no team is configured callers choose the names.
-func (c *class) count(team string, size, tasks int, work float64) {
+// addTeamWork adds to a team's queued work. A team without queued tasks is
+// removed: if no team is configured, callers choose the names, and the map would
+// grow without bound.
+func (c *class) addTeamWork(team string, size, tasks int, work float64) {
 	w := c.teams[team]
 	if w == nil {
 		w = &teamWork{}
@@ -68,7 +69,7 @@
 	}
 }
 
-// team returns a team's queued work, to be read only.
+// team returns a team's queued work. The result must not be modified.
 func (c *class) team(name string) *teamWork {
 	if w := c.teams[name]; w != nil {
 		return w
@@ -76,12 +77,12 @@
 	return &teamWork{}
 }
 
-// ahead is the work that goes before a job of the given size: that of jobs up
-// to about twice as large. It overtakes the larger ones, but for those that
-// have waited for long.
+// ahead returns the work that is served before a job of the given size class:
+// the jobs up to about twice as large. The job overtakes larger ones, except for
+// those that have waited for long.
 func (w *teamWork) ahead(size int) float64 {
 	sum := 0.0
-	for _, work := range w.bySize[:min(size+2, ownClasses)] {
+	for _, work := range w.bySize[:min(size+2, sizeClasses)] {
 		sum += work
 	}
 	return sum
@@ -89,62 +90,63 @@
 
 // Pool schedules the tasks of one pool on the targets that this entry holds.
 type Pool struct {
-	name  string
-	opts  Options
-	rand  *rand.Rand
-	file  *config.File
-	book  *estimate.Book
-	fleet *health.Fleet
-	mix   *reserve.Reserve
+	name         string
+	opts         Options
+	rand         *rand.Rand
+	file         *config.File
+	estimates    *estimate.Book
+	fleet        *health.Fleet
+	shortReserve *reserve.Reserve
 
-	targets    map[job.TargetID]*target
-	ranked     *pq.Heap[*target]
-	probes     *pq.Heap[*target]
-	rooms      []job.Size
-	roomsStale bool
-	noRoom     map[job.Size]bool // sizes that found no room since the last change
-	walk       []int
-	last       job.TargetID
-	// slots is how many tasks of the usual size the pool runs at once, a slow
-	// target's in proportion, and room how many more it takes now. free counts the
-	// slots that targets announced and that nothing runs in.
-	slots     float64
-	room      int
-	free      int
-	usual     typical
-	patience  patience.Book
-	ends      horizon
-	meanSlack float64 // of jobs with an objective, in seconds
-	running   int
-	longRuns  int
-	kept      *batch // the job that a target is being emptied for
+	targets       map[job.TargetID]*target
+	ranked        *pq.Heap[*target] // targets on which tasks may start, in order of placement
+	probes        *pq.Heap[*target] // targets that wait for a probe, the next due first
+	maxSizes      []job.Size        // target sizes that fit into no other target size
+	maxSizesStale bool
+	unplaceable   map[job.Size]bool // sizes that fit no target since the last change
+	walkBuffer    []int             // reused by placeRanked
+	lastTarget    job.TargetID
+	// slots is the number of tasks of the mean size that the pool can run at once;
+	// slow targets count in proportion to their speed. freeCapacity is the number
+	// of additional tasks of the mean size that fit now. freeSlots counts the
+	// announced slots in which no task runs.
+	slots        float64
+	freeCapacity int
+	freeSlots    int
+	meanSize     sizeMean
+	patience     patience.Book
+	freeTimes    slotHeap
+	meanSlack    float64 // of jobs with an objective, in seconds
+	running      int
+	longRunning  int
+	reservedFor  *batch // the batch that a target is reserved for
 
-	batches map[batchKey]*batch
-	classes [classes]class
-	due     *pq.Heap[*batch]
-	queued  int
-	seq     uint64
+	batches   map[batchKey]*batch
+	classes   [classes]class
+	deadlines *pq.Heap[*batch]
+	queued    int
+	seq       uint64
 }
 
-// New returns a pool without targets. The seed makes ties fall the same way in
-// each run.
+// New returns a pool without targets. The seed makes the breaking of ties
+// reproducible.
 func New(name string, seed uint64) *Pool { return NewWith(name, seed, Options{}) }
 
-// NewWith returns a pool with some decisions switched off.
+// NewWith returns a pool with some policies disabled.
 func NewWith(name string, seed uint64, opts Options) *Pool {
 	p := &Pool{
-		name:    name,
-		opts:    opts,
-		rand:    rand.New(rand.NewPCG(seed, seed)),
-		book:    estimate.New(),
-		fleet:   health.NewFleet(),
-		mix:     reserve.New(),
-		targets: map[job.TargetID]*target{},
-		ranked:  pq.New(rankLess, func(t *target) *pq.Node { return &t.ranked }),
-		probes:  pq.New(probeLess, func(t *target) *pq.Node { return &t.probe }),
-		noRoom:  map[job.Size]bool{},
-		batches: map[batchKey]*batch{},
-		due:     pq.New(dueLess, func(b *batch) *pq.Node { return &b.due }),
+		name:         name,
+		opts:         opts,
+		rand:         rand.New(rand.NewPCG(seed, seed)),
+		estimates:    estimate.New(),
+		fleet:        health.NewFleet(),
+		shortReserve: reserve.New(),
+		targets:      map[job.TargetID]*target{},
+		ranked:       pq.New(rankLess, func(t *target) *pq.Node { return &t.rankNode }),
+		probes:       pq.New(probeLess, func(t *target) *pq.Node { return &t.probeNode }),
+		unplaceable:  map[job.Size]bool{},
+		batches:      map[batchKey]*batch{},
+		deadlines:    pq.New(deadlineLess, func(b *batch) *pq.Node { return &b.deadlineNode }),
 	}
 	for u := range p.classes {
 		c := &p.classes[u]
@@ -156,20 +158,20 @@
 	return p
 }
 
-func dueLess(a, b *batch) bool {
+func deadlineLess(a, b *batch) bool {
 	if !a.deadline.Equal(b.deadline) {
 		return a.deadline.Before(b.deadline)
 	}
 	return a.item.Seq < b.item.Seq
 }
 
-// Configure takes the accepted file into force. Weights, urgency and late
-// answers act on the queued work at once.
+// Configure applies an accepted configuration file. Changes of weights, urgency
+// and the flagging of late answers also apply to queued work.
 func (p *Pool) Configure(now time.Time, f *config.File) {
 	p.file = f
 	p.setWeights(f)
 	p.patience.Forget(func(service string) bool { _, known := f.Service(service); return !known })
-	clear(p.noRoom)
+	clear(p.unplaceable)
 	for _, id := range slices.Sorted(maps.Keys(p.targets)) {
 		t := p.targets[id]
 		t.Target = p.withDefaults(t.announced)
@@ -195,8 +197,8 @@
 	}
 }
 
-// reclassify moves a batch whose service changed class, queued tasks and
-// running ones alike.
+// reclassify applies changed settings of a service to one of its batches. If the
+// urgency class changed, queued and running tasks move to the new class.
 func (p *Pool) reclassify(now time.Time, b *batch) {
 	svc, known := p.file.Service(b.meta.Service)
 	if !known {
@@ -205,16 +207,16 @@
 	b.repeatable = svc.Repeatable
 	if b.flagLate != svc.FlagLate {
 		b.flagLate = svc.FlagLate
-		p.watchDeadline(b)
+		p.updateDeadline(b)
 	}
 	to := p.classOf(svc)
 	if to == b.class {
 		return
 	}
 	p.unqueue(b)
-	p.hold(b, -b.running)
+	p.countRunning(b, -b.running)
 	b.class = to
-	p.hold(b, b.running)
+	p.countRunning(b, b.running)
 	p.enqueue(now, b)
 }
 
@@ -225,16 +227,16 @@
 	return svc.Urgency
 }
 
-// hold counts slots that running tasks of the batch take.
-func (p *Pool) hold(b *batch, slots int) {
+// countRunning adds to the number of slots in which tasks of the batch run.
+func (p *Pool) countRunning(b *batch, slots int) {
 	c := &p.classes[b.class]
 	c.running += slots
 	for _, q := range c.lanes {
 		q.Hold(b.team, float64(slots))
 	}
 	if b.long {
-		c.longRuns += slots
-		p.longRuns += slots
+		c.longRunning += slots
+		p.longRunning += slots
 	}
 }
 
@@ -245,14 +247,14 @@
 	return laneShort
 }
 
-// enqueue puts a batch's queued tasks before the scheduler.
+// enqueue adds a batch's queued tasks to the queue of its class.
 func (p *Pool) enqueue(now time.Time, b *batch) {
 	if b.queued() == 0 {
 		return
 	}
 	c := &p.classes[b.class]
 	if c.queued == 0 {
-		c.since = now
+		c.standingSince = now
 	}
 	c.lanes[b.lane()].Push(b.team, &b.item)
 	p.countQueued(b, b.queued(), b.queuedWork())
@@ -263,13 +265,13 @@
 	for _, i := range b.order {
 		sum += b.tasks[i].expected.Seconds()
 	}
-	for _, i := range b.returned {
+	for _, i := range b.requeued {
 		sum += b.tasks[i].expected.Seconds()
 	}
 	return sum
 }
 
-// unqueue takes a batch's queued tasks out of the scheduler's sight.
+// unqueue removes a batch's queued tasks from the queue of its class.
 func (p *Pool) unqueue(b *batch) {
 	if !b.item.Waiting() {
 		return
@@ -284,29 +286,29 @@
 	c.waiting[b.lane()] += tasks
 	p.queued += tasks
 	c.work[b.lane()] = max(0, c.work[b.lane()]+work)
-	c.count(b.team, b.ownClass(), tasks, work)
+	c.addTeamWork(b.team, b.sizeClass(), tasks, work)
 	if c.queued == 0 {
-		// The sums are of floating point numbers: an empty queue is exact.
+		// An empty queue clears the rounding errors of the floating-point sums.
 		c.work = [lanes]float64{}
 		clear(c.teams)
 	}
 }
 
-func (p *Pool) watchDeadline(b *batch) {
-	p.due.Remove(b)
+func (p *Pool) updateDeadline(b *batch) {
+	p.deadlines.Remove(b)
 	if b.queued() > 0 && !b.deadline.IsZero() && !b.flagLate {
-		p.due.Push(b)
+		p.deadlines.Push(b)
 	}
 }
 
-// forget drops a batch of which nothing is queued or running.
-func (p *Pool) forget(b *batch) {
+// removeBatchIfIdle removes a batch without queued or running tasks.
+func (p *Pool) removeBatchIfIdle(b *batch) {
 	if b.queued() > 0 {
 		return
 	}
-	p.due.Remove(b)
-	if p.kept == b {
-		p.unkeep()
+	p.deadlines.Remove(b)
+	if p.reservedFor == b {
+		p.clearReservation()
 	}
 	if b.running == 0 && p.batches[b.key] == b {
 		delete(p.batches, b.key)
--- a/internal/scheduler/pool_test.go
+++ b/internal/scheduler/pool_test.go
@@ -53,9 +53,9 @@
 
 func ranFor(d time.Duration) Result { return Result{Ran: d, Status: job.TaskDone} }
 
-// A target announces 8 slots, 2 connections or little memory. Were any of the
-// three exceeded it would queue, refuse or swap, and each caller would wait
-// for a target that looked free.
+// A target announces limits: slots, connections, memory or accelerators. If one is
+// exceeded, the target queues tasks, refuses them or swaps, and callers wait for a
+// target that looks free.
 func TestLimitsOfATargetHold(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -90,9 +90,9 @@
 	}
 }
 
-// A target withdraws while it runs tasks. It must get no further one, and its
-// running ones must still free their place when it comes back.
-func TestLeavingTarget(t *testing.T) {
+// A target is removed while it runs tasks, and is added again. It must get no task
+// in between, and its running tasks must still occupy their slots after its return.
+func TestRemovedTarget(t *testing.T) {
 	p := smallPool(1, 2)
 	p.Offer(epoch, batchOf("a", "thumb", 3))
 	started := p.Next(epoch).Starts
@@ -110,8 +110,8 @@
 	qt.Assert(t, p.targets, qt.HasLen, 0)
 }
 
-// A job declares more memory than any target has. It can never run; without
-// the check it would hold its place until its deadline.
+// A job declares more memory than any target has and can never run. Without the
+// check, it would stay in the queue until its deadline.
 func TestImpossibleJob(t *testing.T) {
 	p := smallPool(2, 2)
 	b := batchOf("a", "thumb", 2)
@@ -120,9 +120,9 @@
 	qt.Assert(t, p.Next(epoch).Starts, qt.HasLen, 0)
 }
 
-// A deadline passes while tasks wait. The caller's answer is final at that
-// moment; running the rest would take slots for nobody. A service that flags
-// late answers wants them all the same.
+// A deadline passes while tasks wait. The caller's answer is final at that moment, so
+// running the remaining tasks would waste slots. A service that flags late answers
+// still needs them.
 func TestDeadlineWhileQueued(t *testing.T) {
 	for service, want := range map[string]int{"thumb": 2, "inflow": 0} {
 		p := smallPool(1, 1)
@@ -142,8 +142,8 @@
 	}
 }
 
-// The caller hangs up. Its queued tasks must leave at once, its running ones
-// keep their slots until they end.
+// A submission is cancelled. Its queued tasks must be removed immediately, and its
+// running tasks must occupy their slots until they end.
 func TestCancel(t *testing.T) {
 	p := smallPool(1, 2, Options{NoJobOrder: true})
 	qt.Assert(t, p.Offer(epoch, batchOf("a", "thumb", 4)).Accepted, qt.IsTrue)
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -6,18 +6,18 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// probePatience is how long a probe that may fail its task waits for one that
-// may be sent again, before it takes any.
-const probePatience = 5 * time.Second
+// probeRepeatableWait is how long a due probe waits for a repeatable task, since the
+// probe may fail. After that, it uses any task.
+const probeRepeatableWait = 5 * time.Second
 
-// probeRecheck is when a target for which no task was fit is looked at again.
-// Looked at in each decision, a few hundred such targets would make each cost
-// as much as all of them.
+// probeRecheck is how long a target is skipped after no queued task was suitable as
+// its probe. Without it, each decision would check all such targets, of which there
+// may be a few hundred.
 const probeRecheck = 50 * time.Millisecond
 
-// startProbes gives one task each to the targets that are due for a trial. A
-// target for which no task is fit is passed over: the next one may be due and
-// the task that waits may be fit for it alone.
+// startProbes starts one task on each target that is due for a probe. A target
+// without a suitable task is skipped, since the next target may be due too and the
+// only one that suits the queued task.
 func (p *Pool) startProbes(now time.Time, d *Decisions) {
 	for p.probes.Len() > 0 && p.queued > 0 {
 		tg := p.probes.Min()
@@ -27,7 +27,7 @@
 		due, _ := tg.health.ProbeAt()
 		b := p.probeJob(now, tg, due)
 		if b == nil {
-			tg.passedUntil = now.Add(probeRecheck)
+			tg.skipUntil = now.Add(probeRecheck)
 			p.probes.Fix(tg)
 			continue
 		}
@@ -35,18 +35,18 @@
 	}
 }
 
-// probeJob returns the job whose next task is risked on the target: of the
-// least urgent class, and never an urgent one while other targets are sound.
+// probeJob returns the job whose next task serves as the probe: one of the least
+// urgent class, and never an urgent one while another target has a free slot.
 func (p *Pool) probeJob(now time.Time, tg *target, due time.Time) *batch {
 	for u := range p.classes {
-		if job.Urgency(u) == job.UrgencyUrgent && p.free > 0 && p.slots > 0 && !p.opts.NoClasses {
+		if job.Urgency(u) == job.UrgencyUrgent && p.freeSlots > 0 && p.slots > 0 && !p.opts.NoClasses {
 			return nil
 		}
 		b, _ := p.head(job.Urgency(u), int(p.slots)+1)
-		if b == nil || !p.fits(b, b.peek(), tg, held) {
+		if b == nil || !p.canPlace(b, b.peek(), tg, probeOnly) {
 			continue
 		}
-		if tg.tier == held && !b.repeatable && now.Sub(due) < probePatience && p.free > 0 {
+		if tg.tier == probeOnly && !b.repeatable && now.Sub(due) < probeRepeatableWait && p.freeSlots > 0 {
 			continue
 		}
 		return b
@@ -54,10 +54,10 @@
 	return nil
 }
 
-// startSlow uses slow targets where that is expected to be sooner: when the
-// queue would take longer to reach a sound slot than the slow one loses.
+// startSlow starts tasks on slow targets while waiting for a slot on another target
+// is expected to take longer than the extra run time on the slow one.
 func (p *Pool) startSlow(now time.Time, d *Decisions) {
-	if p.free > 0 && p.queued == 0 || p.opts.NoHealth {
+	if p.freeSlots > 0 && p.queued == 0 || p.opts.NoHealth {
 		return
 	}
 	maxLong := p.maxLong(now)
@@ -72,15 +72,14 @@
 		}
 		t := b.peek()
 		loss := (p.fleet.Slowness(&tg.health) - 1) * t.expected.Seconds()
-		if p.queuedWork()/max(1, p.slots) < loss || !p.fits(b, t, tg, slow) {
+		if p.queuedWork()/max(1, p.slots) < loss || !p.canPlace(b, t, tg, slow) {
 			return
 		}
 		p.start(now, b, t, tg, false, d)
 	}
 }
 
-// slowTarget returns the least occupied slow target when every sound one is
-// full.
+// slowTarget returns the least occupied slow target if every faster one is full.
 func (p *Pool) slowTarget() *target {
 	if p.ranked.Len() == 0 {
 		return nil
@@ -91,8 +90,8 @@
 	return nil
 }
 
-// slowJob returns the job for a slow slot: of the least urgent class, since
-// its callers lose least by a longer run.
+// slowJob returns the job to run on a slow target: one of the least urgent class,
+// for which a longer run time matters least.
 func (p *Pool) slowJob(maxLong int) *batch {
 	for u := range p.classes {
 		if b, _ := p.head(job.Urgency(u), maxLong); b != nil {
--- a/internal/scheduler/random_test.go
+++ b/internal/scheduler/random_test.go
@@ -11,7 +11,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// model is what a caller of the pool knows: which tasks wait and which run.
+// model tracks which tasks wait and which run, as seen by a caller of the pool.
 type model struct {
 	*rapid.T
 	p       *Pool
@@ -57,7 +57,7 @@
 	return d
 }
 
-// finish ends the running task that sorts first, some way or other.
+// finish ends the running task with the lowest key, with the result that end selects.
 func (m *model) finish(end int) {
 	var k Key
 	for c := range m.running {
@@ -119,10 +119,10 @@
 	m.p.SetTarget(m.now, job.Target{ID: id, Slots: 3, Connections: 3, MemoryMB: 1000, Rack: string(id)})
 }
 
-// check compares the pool's sums with the model, and each target's load with
-// what it announced.
+// check compares the pool's sums with the model, and the load of each target with
+// its announced limits.
 func (m *model) check() {
-	queued, running, free := 0, 0, 0
+	queued, running, freeSlots := 0, 0, 0
 	for u := range m.p.classes {
 		queued += m.p.classes[u].queued
 		running += m.p.classes[u].running
@@ -138,25 +138,25 @@
 		if t.running != per[id] || t.running > 3 || t.used.MemoryMB > 1000 || t.used.MemoryMB < 0 {
 			m.Fatalf("target %s runs %d of %d with %d MB", id, t.running, per[id], t.used.MemoryMB)
 		}
-		if !t.leaving && t.tier < slow {
-			free += max(0, t.limit()-t.running)
+		if !t.removed && t.tier < slow {
+			freeSlots += max(0, t.limit()-t.running)
 		}
 	}
-	if free != m.p.free {
-		m.Fatalf("%d slots are free, not %d", free, m.p.free)
+	if freeSlots != m.p.freeSlots {
+		m.Fatalf("%d slots are free, not %d", freeSlots, m.p.freeSlots)
 	}
 }
 
-// Whatever callers, targets and time do, each task starts at most once at a
-// time, no target gets more than it announced, and once targets are sound no
-// task waits for ever.
+// Under random actions of callers and targets, each task runs at most once at a time,
+// no target exceeds its announced limits, and once targets are healthy no task waits
+// for ever.
 func TestRandomRuns(t *testing.T) {
 	seed := flag.Lookup("rapid.seed")
 	if seed.Value.String() != seed.DefValue {
 		rapid.Check(t, randomRun)
 		return
 	}
-	// The same runs each time, unless the command line names a seed.
+	// The runs are reproducible unless the command line sets a seed.
 	defer func() { _ = seed.Value.Set(seed.DefValue) }()
 	for i := range 20 {
 		_ = seed.Value.Set(fmt.Sprint(i + 1))
@@ -199,7 +199,7 @@
 			break
 		}
 		if d.Wake.IsZero() {
-			m.Fatalf("%d tasks wait, and nothing will look again", len(m.waiting))
+			m.Fatalf("%d tasks wait, but no further decision is scheduled", len(m.waiting))
 		}
 		m.now = d.Wake
 	}
--- a/internal/scheduler/avoid_test.go
+++ b/internal/scheduler/retarget_test.go
@@ -10,15 +10,15 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// A target refuses a task, which then waits for another one; that one leaves
-// before it has a free slot, or is too small for the task. A task that goes on
-// avoiding the only target for it would wait for ever, and its caller with it.
-func TestAvoidedTargetIsTakenWhenNoOtherIsLeft(t *testing.T) {
-	t.Run("left", func(t *testing.T) { avoidedIsTaken(t, 0, true) })
-	t.Run("too small", func(t *testing.T) { avoidedIsTaken(t, 2, false) })
+// A target refuses a task, which then waits for another target. That one is
+// removed before it has a free slot, or is too small for the task. Guards against
+// a task that keeps avoiding the only target left for it and waits for ever.
+func TestAvoidedTargetIsUsedWhenNoOtherFits(t *testing.T) {
+	t.Run("left", func(t *testing.T) { testAvoidedTarget(t, 0, true) })
+	t.Run("too small", func(t *testing.T) { testAvoidedTarget(t, 2, false) })
 }
 
-func avoidedIsTaken(t *testing.T, processors int, leaves bool) {
+func testAvoidedTarget(t *testing.T, processors int, removed bool) {
 	now := time.Unix(1000, 0)
 	p := New("p", 1)
 	p.Configure(now, &config.File{Number: 1})
@@ -37,7 +37,7 @@
 	offer("b", 1)
 	qt.Assert(t, p.Next(now).Starts, qt.HasLen, 1) // fills t2
 	qt.Assert(t, p.Requeue(now, first.Key), qt.IsTrue)
-	if leaves {
+	if removed {
 		p.RemoveTarget(now, "t2")
 	}
 	for range 100 {
@@ -46,16 +46,17 @@
 			qt.Assert(t, d.Starts[0].Target, qt.Equals, job.TargetID("t1"))
 			return
 		}
-		qt.Assert(t, d.Wake.IsZero(), qt.IsFalse, qt.Commentf("nothing will ever look again"))
+		qt.Assert(t, d.Wake.IsZero(), qt.IsFalse, qt.Commentf("no further decision is scheduled"))
 		now = d.Wake
 	}
 	t.Fatal("the task never started")
 }
 
-// Two targets refuse, one of them often, so that it is asked again later. A
-// task that avoids the first must be tried on the second when that is due:
-// held up by the first one's turn, it would wait for ever.
-func TestProbeOfOneTargetDoesNotHoldUpAnothers(t *testing.T) {
+// Two targets refuse tasks, one of them repeatedly, so that its next probe is due
+// later. A task that avoids one target must be tried on the other when that
+// target's probe is due. Guards against a task that waits for ever because the
+// probe of the avoided target comes first.
+func TestProbeOfOneTargetDoesNotBlockOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := New("p", 1)
 	p.Configure(now, &config.File{Number: 1})
@@ -63,7 +64,7 @@
 		v := p.Offer(now, &job.Batch{Submission: id, Service: "p", Tasks: []job.BatchTask{{}}})
 		qt.Assert(t, v.Accepted, qt.IsTrue)
 	}
-	// next returns what starts next, however long that takes.
+	// next advances the time until a task starts and returns that start.
 	next := func() Start {
 		for range 100 {
 			d := p.Next(now)
@@ -89,9 +90,9 @@
 	qt.Assert(t, next().Target, qt.Equals, job.TargetID("often"))
 }
 
-// A target refuses a task, and the one by which it is tried again fails. That
-// must not be the last task that it ever gets: it would stand idle, and work
-// wait, until the entry is restarted.
+// A target refuses a task, and the task that then probes it fails. Guards against a
+// target that gets no further task after this and remains idle, while work waits,
+// until the entry is restarted.
 func TestTargetIsTriedAgainAfterAFailedProbe(t *testing.T) {
 	for _, end := range []job.TaskStatus{job.TaskErred, job.TaskDone, job.TaskNotStarted} {
 		now := time.Unix(1000, 0)
--- a/internal/scheduler/rules_test.go
+++ b/internal/scheduler/rules_test.go
@@ -11,18 +11,17 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Urgent work floods the pool for a while. Batch work must go on, if slowly:
-// otherwise a proxy that was promised is never made.
+// A flood of urgent work must not stop accepted batch work, only slow it down.
 func TestBatchIsNotStarved(t *testing.T) {
-	play := func(o Options) (batch figures) {
+	play := func(o Options) (batch summary) {
 		s := newSim(o, 4, 8, nil)
-		s.run(mix(
-			load{group: "alert", team: "a", service: "alert", until: 30 * time.Second, tasksPerSecond: 4 * 32 / meanUsual, tasks: 4, run: usual},
-			load{group: "proxy", team: "a", service: "proxy", until: 25 * time.Second, tasksPerSecond: 0.04 * 32 / meanUsual, tasks: 1, run: usual},
+		s.run(mergeLoads(
+			load{group: "alert", team: "a", service: "alert", until: 30 * time.Second, tasksPerSecond: 4 * 32 / meanUsualSeconds, tasks: 4, run: usualRun},
+			load{group: "proxy", team: "a", service: "proxy", until: 25 * time.Second, tasksPerSecond: 0.04 * 32 / meanUsualSeconds, tasks: 1, run: usualRun},
 		))
-		urgent := s.figures("alert", 0, time.Minute)
+		urgent := s.summary("alert", 0, time.Minute)
 		t.Logf("alert: %v", urgent)
-		batch = s.figures("proxy", 0, 15*time.Second)
+		batch = s.summary("proxy", 0, 15*time.Second)
 		for i := range s.answers {
 			if a := &s.answers[i]; a.arrival.group == "proxy" {
 				qt.Assert(t, a.after < 15*time.Second, qt.IsTrue, qt.Commentf("waited %v", a.after))
@@ -35,8 +34,8 @@
 	qt.Assert(t, f.complete, qt.Equals, f.sent)
 }
 
-// A target refuses a task without starting it. The task keeps its place, goes
-// to another target, and the caller is told after a bounded number of tries.
+// Targets refuse a task without starting it. The task must go to another target each
+// time, and the pool must give it back to its caller after a bounded number of attempts.
 func TestRequeue(t *testing.T) {
 	p := smallPool(3, 1)
 	qt.Assert(t, p.Offer(epoch, batchOf("a", "thumb", 1)).Accepted, qt.IsTrue)
@@ -64,8 +63,8 @@
 	qt.Assert(t, p.batches, qt.HasLen, 0)
 }
 
-// A target refuses a task while the others are busy. Sent there again, the task
-// would go round in circles until it has used up its tries.
+// A target refuses a task while the others are busy. Guards against sending the task
+// to the same target again until it has used up its attempts.
 func TestRefusedTaskWaitsForAnotherTarget(t *testing.T) {
 	p := smallPool(2, 1)
 	p.Offer(epoch, batchOf("a", "thumb", 1))
@@ -82,8 +81,8 @@
 	qt.Assert(t, again[0].Target, qt.Equals, starts[1].Target)
 }
 
-// A submission is cancelled while its task is on the way to a target, which
-// then refuses it. Putting it back would run work that nobody waits for.
+// A submission is cancelled while its task is being sent to a target, which then
+// refuses it. Queuing the task again would run work whose result nobody needs.
 func TestRequeueAfterCancel(t *testing.T) {
 	p := smallPool(2, 1)
 	p.Offer(epoch, batchOf("a", "thumb", 1))
@@ -93,14 +92,15 @@
 	qt.Assert(t, p.Next(at(2)).Starts, qt.HasLen, 0)
 }
 
-// A large task waits while small ones fill each gap before it is big enough.
-// Without a target that is emptied for it, it waits until the small ones end.
-func TestLargeTaskIsNotPassedForEver(t *testing.T) {
+// Small tasks fill each gap before it is large enough for a waiting large task.
+// Unless a target is reserved for the large task, it waits until no small tasks
+// arrive any more.
+func TestLargeTaskIsNotStarved(t *testing.T) {
 	s := newSim(Options{}, 4, 8, nil)
 	stop := 20 * time.Second
 	big := batchOf("big", "thumb", 1)
 	big.Tasks[0].MemoryMB = 63000
-	arrivals := load{group: "small", team: "a", service: "thumb", until: stop, tasksPerSecond: 1.2 * 32 / meanUsual, tasks: 1, run: usual}.arrivals(3)
+	arrivals := load{group: "small", team: "a", service: "thumb", until: stop, tasksPerSecond: 1.2 * 32 / meanUsualSeconds, tasks: 1, run: usualRun}.arrivals(3)
 	started := time.Time{}
 	s.after(5*time.Second, func() {
 		s.jobs["big"] = &running{arrival: &arrival{group: "big", team: "b", runs: []time.Duration{ms}}, left: 1, began: s.now}
@@ -118,8 +118,8 @@
 	qt.Assert(t, waited < 3*time.Second, qt.IsTrue)
 }
 
-// A new file gives a waiting team more weight and makes a service urgent. Both
-// must act on the work that waits, not only on what comes later.
+// A new configuration makes a service urgent. The change must also apply to the
+// queued work, not only to later submissions.
 func TestConfigurationActsOnQueuedWork(t *testing.T) {
 	p := smallPool(1, 1, Options{NoAdmission: true})
 	for _, id := range []string{"a", "b"} {
@@ -137,7 +137,7 @@
 	qt.Assert(t, p.Load(at(2)).Queued, qt.Equals, [3]int{0, 3, 3})
 }
 
-// Two teams wait for the same slots with weights 3 and 1.
+// Two teams with weights 3 and 1 must share the slots in proportion.
 func TestWeights(t *testing.T) {
 	p := smallPool(2, 8, Options{NoAdmission: true})
 	f := testFile()
@@ -155,10 +155,10 @@
 	qt.Assert(t, count, qt.DeepEquals, map[string]int{"a": 12, "b": 4})
 }
 
-// A burst comes after a quiet time, another while the queue has stood for
-// seconds. The first may wait, since the queue empties soon; the second would
-// only make everybody wait.
-func TestBurstMayWaitAStandingQueueMayNot(t *testing.T) {
+// One burst arrives after a time without load, another while a queue has existed for
+// seconds. The first may wait, since the queue empties soon. The second would only
+// increase the wait of all jobs and is mostly refused.
+func TestStandingQueueIsRefusedButNotBurst(t *testing.T) {
 	p := smallPool(4, 8, Options{NoHeadroom: true})
 	fill := func(at time.Time) (taken int) {
 		for ; ; taken++ {
@@ -180,7 +180,7 @@
 	qt.Assert(t, p.Next(at(68_000)).Starts, qt.HasLen, 32)
 	qt.Assert(t, first > 60, qt.IsTrue, qt.Commentf("%d", first))
 	qt.Assert(t, fill(at(68_000)) < first/4, qt.IsTrue)
-	// Another team's few tasks have not made that queue.
+	// Another team's few tasks are accepted, since they did not cause the queue.
 	for i := range 4 {
 		m := batchOf(fmt.Sprint("quiet", i), "thumb", 1)
 		m.Team, m.Remaining = "quiet", 700*time.Millisecond
@@ -188,9 +188,9 @@
 	}
 }
 
-// A caller makes up a team's name for each job. Were each name a team, it would
-// have nothing waiting and never be refused, and the names would fill the memory.
-func TestMadeUpTeamsAreOne(t *testing.T) {
+// A caller invents a team name for each job. If each name counted as a team, it would
+// have no queued work and never be refused, and the names would fill the memory.
+func TestUnconfiguredTeamsAreOneTeam(t *testing.T) {
 	p := smallPool(1, 2)
 	f := testFile()
 	f.Teams = nil
@@ -214,9 +214,10 @@
 	qt.Assert(t, len(c.teams) <= 1, qt.IsTrue, qt.Commentf("%d teams", len(c.teams)))
 }
 
-// A hot team leaves the last slots to others. An owner that were told of them
-// as free would send the hot team's next tasks here, to queue beside them.
-func TestSlotsLeftFreeAreNotOffered(t *testing.T) {
+// A team above its share leaves headroom to others. If the pool reported these slots
+// as free, owners would send more tasks of that team, which would wait although slots
+// are free.
+func TestHeadroomIsNotReportedFree(t *testing.T) {
 	p := smallPool(8, 8, Options{NoAdmission: true})
 	f := testFile()
 	f.Teams = []config.Team{{Name: "hot", Weight: 1}, {Name: "quiet", Weight: 1}}
@@ -233,8 +234,8 @@
 	qt.Assert(t, offer("quiet", 2), qt.Equals, 2)
 }
 
-// A job of four tasks on idle targets in four racks: a rack that fails should
-// take one of its tasks, not all.
+// A job of four tasks starts on idle targets in four racks. A failing rack should
+// affect one of its tasks, not all.
 func TestRackSpread(t *testing.T) {
 	p := smallPool(32, 8)
 	p.Offer(epoch, batchOf("a", "thumb", 4))
@@ -245,22 +246,22 @@
 	qt.Assert(t, racks, qt.HasLen, 4)
 }
 
-// A holder takes a target over while it still runs tasks of the one before. It
-// must count them, or the target gets more than its slots.
-func TestTakenOverTargetCountsWhatRuns(t *testing.T) {
+// A holder takes over a target that still runs tasks of an earlier holder. The pool
+// must count them, or the target gets more tasks than it has slots.
+func TestInheritedTasksCountAgainstSlots(t *testing.T) {
 	p := New("render", 1)
 	p.Configure(epoch, testFile())
 	w := job.Target{ID: "w", Slots: 8, Connections: 64, Running: 6}
 	p.SetTarget(epoch, w)
 	p.Offer(epoch, batchOf("a", "thumb", 8))
 	qt.Assert(t, p.Next(epoch).Starts, qt.HasLen, 2)
-	w.Running = 3 // two of them ours
+	w.Running = 3 // two of them started by this pool
 	p.SetTarget(at(500), w)
 	qt.Assert(t, p.Next(at(500)).Starts, qt.HasLen, 5)
 }
 
-// The tasks on one target are stopped because siblings failed elsewhere. That
-// is no fault of the target, even when it happens to each of them.
+// All tasks on one target are stopped because sibling tasks failed elsewhere. Guards
+// against counting this as a fault of the target.
 func TestStoppedTasksDontCountAgainstTargets(t *testing.T) {
 	p := smallPool(2, 8)
 	for i := range 50 {
@@ -277,11 +278,11 @@
 	for _, ts := range p.Stats(at(60)).Targets {
 		qt.Assert(t, ts.State, qt.Equals, "ready")
 	}
-	qt.Assert(t, p.free, qt.Equals, 16)
+	qt.Assert(t, p.freeSlots, qt.Equals, 16)
 }
 
-// A kind whose tasks run longer than the deadline is refused at once, but one
-// job in a while is tried: the measure may be old.
+// Jobs of a kind that runs longer than their deadline are refused on arrival. One job
+// is accepted from time to time, since the measured run time may be out of date.
 func TestRefusedKindIsTriedAgain(t *testing.T) {
 	p := smallPool(2, 8)
 	offer := func(ms int) Verdict {
--- a/internal/scheduler/stats.go
+++ b/internal/scheduler/stats.go
@@ -8,24 +8,24 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Load returns what owners are told of this pool. The entry fills in its name
-// and zone.
+// Load returns the load report of this pool for owners. The entry fills in its
+// name and zone.
 func (p *Pool) Load(now time.Time) job.HolderLoad {
-	// Slots that most work has to leave free are not offered to owners: they
-	// would send tasks that then queue beside them.
-	free := max(0, p.room-p.headroom(job.UrgencyInteractive))
+	// The headroom that most work has to leave free is not reported as free:
+	// owners would send tasks that then wait although slots are free.
+	free := max(0, p.freeCapacity-p.headroom(job.UrgencyInteractive))
 	l := job.HolderLoad{Pool: p.name, Targets: p.ranked.Len(), Free: free}
 	for i := range p.ranked.Len() {
 		t := p.ranked.At(i)
-		l.Largest = l.Largest.Largest(t.nominal)
+		l.Largest = l.Largest.Largest(t.largestAnnounced)
 		if t.tier < slow {
-			l.Slots += p.capacity(t)
+			l.Slots += p.capacityOf(t)
 		}
 	}
 	slots := max(1, p.slots)
 	ahead := 0.0
 	if free == 0 {
-		ahead = p.book.PoolMean().Seconds()
+		ahead = p.estimates.PoolMean().Seconds()
 	}
 	for u := classes - 1; u >= 0; u-- {
 		c := &p.classes[u]
@@ -36,15 +36,15 @@
 	return l
 }
 
-var tierNames = [...]string{ready: "ready", suspect: "ready", slow: "slow", held: "quarantined"}
+var stateNames = [...]string{ready: "ready", suspect: "ready", slow: "slow", probeOnly: "quarantined"}
 
 // Stats returns the state of the pool for operators.
 func (p *Pool) Stats(now time.Time) Stats {
 	s := Stats{Pool: p.name, Running: p.running, Teams: map[string]int{}}
 	for _, t := range p.targets {
-		ts := TargetStats{Target: t.Target, Running: t.running, Used: t.used, State: tierNames[t.tier]}
+		ts := TargetStats{Target: t.Target, Running: t.running, Used: t.used, State: stateNames[t.tier]}
 		ts.Slowness = p.fleet.Slowness(&t.health)
-		if t.leaving {
+		if t.removed {
 			ts.State = "leaving"
 		} else {
 			s.Slots += t.limit()
--- a/internal/scheduler/target.go
+++ b/internal/scheduler/target.go
@@ -9,73 +9,75 @@
 	"github.com/vanillagrade/vanillagrade/internal/policy/pq"
 )
 
-// tier says how freely a target may be used.
+// tier ranks targets by how freely they may be used.
 type tier uint8
 
 const (
-	ready tier = iota
-	suspect
-	slow
-	held
+	ready     tier = iota
+	suspect        // failed tasks recently
+	slow           // slower than Pool.maxSlowness
+	probeOnly      // gets single probes only
 )
 
-// target is one held target. A target that left stays until its last running
-// task has ended.
+// target is one target of the holder. A removed target is kept until its last
+// running task has ended.
 type target struct {
 	job.Target
-	announced job.Target // as it came, before defaults
+	announced job.Target // as received, before defaults
 	health    health.Target
 	running   int
-	// foreign counts tasks that run there and were started by an earlier
-	// holder, as far as the target said.
-	foreign int
-	used    job.Size
-	leaving bool
-	tier    tier
-	tie     uint32
-	// kept is the job that this target is being emptied for.
-	kept *batch
-	// alone is set while a suspected task runs there, beside which nothing else starts.
-	alone bool
-	// capped is the room that the target turned out to have, until it announces anew; nil
-	// for what it announced. nominal is the largest room that it has announced.
-	capped  *job.Size
-	nominal job.Size
-
-	ranked pq.Node // place among the targets that may be given work
-	probe  pq.Node // place among those that wait for a probe
-	// passedUntil is how long the target is passed over since no task was fit
-	// to try it.
-	passedUntil time.Time
-	// slots and free are what the target adds to the pool's sums.
-	slots float64
-	room  int
-	free  int
+	// inherited is the number of running tasks that an earlier holder started,
+	// according to the target's announcements.
+	inherited int
+	used      job.Size
+	removed   bool
+	tier      tier
+	tieBreak  uint32
+	// reservedFor is the batch that the target is reserved for: no task of another
+	// batch starts here.
+	reservedFor *batch
+	// exclusive is set while a suspected task runs here; no other task may start.
+	exclusive bool
+	// reducedSize replaces the announced size after the target refused a task for lack
+	// of capacity; nil otherwise. The next announcement clears it.
+	reducedSize *job.Size
+	// largestAnnounced is the largest size that the target has ever announced.
+	largestAnnounced job.Size
+
+	rankNode  pq.Node // position in Pool.ranked
+	probeNode pq.Node // position in Pool.probes
+	// skipUntil is until when probes skip the target, after no queued task was
+	// suitable as a probe.
+	skipUntil time.Time
+	// slots, freeCapacity and freeSlots are the target's part of the pool's sums.
+	slots        float64
+	freeCapacity int
+	freeSlots    int
 }
 
-// limit is how many tasks may run at once.
-func (t *target) limit() int { return max(0, min(t.Slots, t.Connections)-t.foreign) }
+// limit returns the number of tasks that may run at once, excluding inherited ones.
+func (t *target) limit() int { return max(0, min(t.Slots, t.Connections)-t.inherited) }
 
-func (t *target) full() bool { return t.alone || t.running >= t.limit() }
+func (t *target) full() bool { return t.exclusive || t.running >= t.limit() }
 
-// Room returns the size of the target as it is now.
+// Room returns the current size of the target.
 func (t *target) Room() job.Size {
-	if t.capped != nil {
-		return *t.capped
+	if t.reducedSize != nil {
+		return *t.reducedSize
 	}
 	return t.Target.Room()
 }
 
-// hasRoom reports whether one more task of this size may start.
-func (t *target) hasRoom(s job.Size) bool {
-	if t.leaving || t.full() {
+// canFit reports whether one more task of this size may start.
+func (t *target) canFit(s job.Size) bool {
+	if t.removed || t.full() {
 		return false
 	}
 	return t.used.Plus(s).Fits(t.Room())
 }
 
-// rankLess orders targets for placement: those with a free slot first, sound
-// ones before suspect ones, then the least occupied.
+// rankLess orders targets for placement: those with a free slot first, then by
+// tier, then the least occupied.
 func rankLess(a, b *target) bool {
 	if a.full() != b.full() {
 		return b.full()
@@ -86,33 +88,33 @@
 	if x, y := a.running*b.limit(), b.running*a.limit(); x != y {
 		return x < y
 	}
-	return a.tie < b.tie
+	return a.tieBreak < b.tieBreak
 }
 
-// SetTarget adds a target or takes over what it newly announced.
+// SetTarget adds a target or applies its latest announcement.
 func (p *Pool) SetTarget(now time.Time, announced job.Target) {
 	t := p.targets[announced.ID]
 	if t == nil {
-		t = &target{foreign: announced.Running}
+		t = &target{inherited: announced.Running}
 		p.targets[announced.ID] = t
 		p.fleet.Add(&t.health)
 		p.ranked.Push(t)
 	}
-	if t.leaving {
-		// It comes back from another holder, whose tasks may still run there.
-		t.foreign = announced.Running
-		t.leaving = false
+	if t.removed {
+		// The target returns from another holder, whose tasks may still run on it.
+		t.inherited = announced.Running
+		t.removed = false
 		p.ranked.Push(t)
 	}
 	t.announced = announced
 	t.Target = p.withDefaults(announced)
-	t.capped = nil
-	t.nominal = t.nominal.Largest(announced.Room())
-	// The target's own count lags, so it may only lower what was taken for
-	// foreign: it also counts our tasks.
-	t.foreign = min(t.foreign, max(0, announced.Running-t.running))
-	p.roomsStale = true
-	clear(p.noRoom)
+	t.reducedSize = nil
+	t.largestAnnounced = t.largestAnnounced.Largest(announced.Room())
+	// The target's count lags and includes the tasks of this pool, so it may
+	// lower the number of inherited tasks but not raise it.
+	t.inherited = min(t.inherited, max(0, announced.Running-t.running))
+	p.maxSizesStale = true
+	clear(p.unplaceable)
 	p.rerank(now, t)
 }
 
@@ -133,32 +135,32 @@
 	return t
 }
 
-// RemoveTarget stops new starts on a target at once. Tasks that run on it go
-// on and stay accounted for until Finished.
+// RemoveTarget stops new starts on a target immediately. Its running tasks
+// continue and are tracked until Finished is called for them.
 func (p *Pool) RemoveTarget(now time.Time, id job.TargetID) {
 	t := p.targets[id]
-	if t == nil || t.leaving {
+	if t == nil || t.removed {
 		return
 	}
-	t.leaving = true
-	if t.kept != nil {
-		p.unkeep()
+	t.removed = true
+	if t.reservedFor != nil {
+		p.clearReservation()
 	}
 	p.ranked.Remove(t)
 	p.probes.Remove(t)
-	p.roomsStale = true
-	p.account(t)
-	p.dropIfIdle(t)
+	p.maxSizesStale = true
+	p.updateSums(t)
+	p.removeTargetIfIdle(t)
 }
 
-func (p *Pool) dropIfIdle(t *target) {
-	if t.leaving && t.running == 0 && p.targets[t.ID] == t {
+func (p *Pool) removeTargetIfIdle(t *target) {
+	if t.removed && t.running == 0 && p.targets[t.ID] == t {
 		p.fleet.Drop(&t.health)
 		delete(p.targets, t.ID)
 	}
 }
 
-// Targets returns the targets that may be given work.
+// Targets returns the targets on which tasks may start.
 func (p *Pool) Targets() []job.Target {
 	out := make([]job.Target, 0, p.ranked.Len())
 	for i := range p.ranked.Len() {
@@ -167,13 +169,13 @@
 	return out
 }
 
-// rerank brings a target's place up to date after its occupancy or its health
-// changed.
+// rerank updates the position of a target in the heaps after its occupancy or
+// health changed.
 func (p *Pool) rerank(now time.Time, t *target) {
 	t.tier = p.tierOf(t)
-	t.tie = p.rand.Uint32()
-	p.account(t)
-	if t.leaving {
+	t.tieBreak = p.rand.Uint32()
+	p.updateSums(t)
+	if t.removed {
 		return
 	}
 	p.ranked.Fix(t)
@@ -191,8 +193,8 @@
 	case p.opts.NoHealth:
 		return ready
 	case t.health.Held():
-		return held
-	case p.fleet.Slowness(&t.health) > p.bearable():
+		return probeOnly
+	case p.fleet.Slowness(&t.health) > p.maxSlowness():
 		return slow
 	case t.health.Suspect():
 		return suspect
@@ -200,36 +202,38 @@
 	return ready
 }
 
-// bearableSlowness is how many times slower than the middle a target of a sized
-// pool may be and still be used like the others. Its pace is weighed at each
-// placement there, machines differ by a quarter either way, and a task on one that
-// takes up to this much longer still meets an objective of 1.6 times its time.
-const bearableSlowness = 1.4
+// maxSlownessSized is how many times slower than the median a target may be and
+// still be used like the others, in a pool whose tasks declare sizes. Placement
+// in such a pool accounts for the pace of each target, machines differ by 25% in
+// either direction, and a task that takes 1.4 times as long still meets an
+// objective of 1.6 times its run time.
+const maxSlownessSized = 1.4
 
-// bearable is the slowness from which on a target gets work only when no other has
-// room.
-func (p *Pool) bearable() float64 {
-	if p.usual.seen > 0 {
-		return bearableSlowness
+// maxSlowness returns the slowness above which a target gets work only if no
+// other target has free capacity.
+func (p *Pool) maxSlowness() float64 {
+	if p.meanSize.seen > 0 {
+		return maxSlownessSized
 	}
 	return 1
 }
 
-// account keeps the pool's sums: the slots that work can count on, a slow
-// target's in proportion, and the free ones among the sound targets.
-func (p *Pool) account(t *target) {
-	slots, room, free := 0.0, 0, 0
-	if !t.leaving && !t.health.Quarantined() {
-		slots = float64(p.capacity(t)) / p.fleet.Slowness(&t.health)
+// updateSums updates the target's part of the pool's sums. Its capacity counts in
+// proportion to its speed, and not at all while it is quarantined. Free capacity
+// and free slots count only while the target is neither slow nor limited to probes.
+func (p *Pool) updateSums(t *target) {
+	slots, freeCapacity, freeSlots := 0.0, 0, 0
+	if !t.removed && !t.health.Quarantined() {
+		slots = float64(p.capacityOf(t)) / p.fleet.Slowness(&t.health)
 	}
-	if !t.leaving && t.tier < slow && !t.alone {
-		free = max(0, t.limit()-t.running)
-		room = p.open(t)
+	if !t.removed && t.tier < slow && !t.exclusive {
+		freeSlots = max(0, t.limit()-t.running)
+		freeCapacity = p.freeCapacityOf(t)
 	}
 	p.slots += slots - t.slots
-	p.room += room - t.room
-	p.free += free - t.free
-	t.slots, t.room, t.free = slots, room, free
+	p.freeCapacity += freeCapacity - t.freeCapacity
+	p.freeSlots += freeSlots - t.freeSlots
+	t.slots, t.freeCapacity, t.freeSlots = slots, freeCapacity, freeSlots
 }
 
 func probeLess(a, b *target) bool {
@@ -240,11 +244,11 @@
 	return a.ID < b.ID
 }
 
-// probeTime is when the target is to be looked at for a probe.
+// probeTime returns when the target is next considered for a probe.
 func (t *target) probeTime() time.Time {
 	due, _ := t.health.ProbeAt()
-	if due.Before(t.passedUntil) {
-		return t.passedUntil
+	if due.Before(t.skipUntil) {
+		return t.skipUntil
 	}
 	return due
 }
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -1,15 +1,15 @@
 // Package scheduler decides, for one holder and one pool of targets, which
-// queued task starts next and on which target. It composes the decisions of
-// internal/policy and adds the bookkeeping of slots, connections and sizes.
+// queued task starts next and on which target. It combines the policies of
+// internal/policy and tracks slots, connections and sizes.
 //
-// The load pattern is the ordinary one of a shared pool: bursts, a caller that
-// sends more than its share, targets that slow down or fail, long tasks among
-// short ones and demand above capacity. Without one place that sees the exact
-// occupancy of each target, slots stand idle while tasks wait elsewhere, and
-// targets are given more than they announced.
+// The load is typical of a shared pool: bursts, a caller that sends more than
+// its share, targets that slow down or fail, a mix of long and short tasks, and
+// demand above capacity. Without one component that sees the exact occupancy of
+// each target, slots would be idle while tasks wait elsewhere, and targets would
+// receive more tasks than they announced capacity for.
 //
-// Everything here is pure: the time is an argument, there is no goroutine, no
-// clock and no network. The caller holds one lock around each call.
+// The package starts no goroutines, reads no clock and uses no network; the time
+// is an argument. The caller holds one lock around each call.
 package scheduler
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Key names one task of one owner's submission.
+// Key identifies one task of one owner's submission.
 type Key struct {
 	Owner      job.Owner
 	Submission job.ID
@@ -33,14 +33,14 @@
 	Team    string
 	Service string
 	Single  bool
-	// Deadline is zero where the submission has none, or where its service
-	// flags late answers.
+	// Deadline is zero if the submission has none, or if its service flags late
+	// answers.
 	Deadline time.Time
-	// Waited is how long the task waited since its submission was received.
+	// Waited is the time since the submission was received.
 	Waited time.Duration
-	// Probe marks the single task given to a target that is being tried again.
+	// Probe marks the single task that tests whether a target works again.
 	Probe bool
-	// Running is how many tasks run on the target, this one included.
+	// Running is the number of tasks on the target, including this one.
 	Running int
 	// Attempt numbers the starts of the task from 1.
 	Attempt int
@@ -48,47 +48,48 @@
 	Expected time.Duration
 }
 
-// Dropped is a task that leaves the queue without having been started.
+// Dropped is a task that was removed from the queue without being started.
 type Dropped struct {
 	Key
 	Reason job.Reason
 	Waited time.Duration
 }
 
-// Decisions is what Next decided.
+// Decisions is the result of one call of Next.
 type Decisions struct {
 	Starts  []Start
 	Expired []Dropped
-	// Wake is when Next should be called again if no event comes before; zero
-	// means that only an event can change anything.
+	// Wake is when to call Next again if no event occurs earlier; zero means
+	// that only an event can lead to another decision.
 	Wake time.Time
 }
 
-// Verdict is the answer to an offered batch: all of its tasks or none.
+// Verdict is the admission decision for a batch: all of its tasks or none.
 type Verdict struct {
 	Accepted bool
-	// Reason, Detail and RetryAfter are set on a refusal.
+	// Reason, Detail and RetryAfter are set if the batch is refused.
 	Reason     job.Reason
 	Detail     string
 	RetryAfter time.Duration
 }
 
-// Result is how a started task ended at its target.
+// Result describes how a started task ended on its target.
 type Result struct {
-	// Ran is the time from the start until the target's answer.
+	// Ran is the time from the start to the target's answer.
 	Ran    time.Duration
 	Status job.TaskStatus
 	Reason job.Reason
-	// TargetRefused is set when the target said that it did not start the task.
+	// TargetRefused is set if the target reported that it did not start the task.
 	TargetRefused bool
-	// Unanswered is set when a start was lost on the way to a target that answers.
+	// Unanswered is set if a start request was lost on the way to a target that
+	// otherwise answers.
 	Unanswered bool
-	// Lost is set when the connection broke or the answer never came.
+	// Lost is set if the connection broke or no answer arrived.
 	Lost bool
-	// Suspect is set when the task may have brought its target down: it runs alone from
-	// now on.
+	// Suspect is set if the task may have crashed its target. The task runs alone
+	// on a target from then on.
 	Suspect bool
-	// NoRoom is set when the target said that it has less room than it announced.
+	// NoRoom is set if the target reported less free capacity than it announced.
 	NoRoom bool
 }
 
@@ -98,7 +99,7 @@
 	Target job.TargetID
 }
 
-// TargetStats is what the pool knows of one target.
+// TargetStats is the state of one target.
 type TargetStats struct {
 	Target   job.Target
 	Running  int
--- a/internal/scheduler/zone_test.go
+++ b/internal/scheduler/zone_test.go
@@ -12,35 +12,36 @@
 	"github.com/vanillagrade/vanillagrade/internal/policy/split"
 )
 
-// zone is several entries of one availability zone in virtual time: each holds
-// some of the targets and owns the jobs that reach it.
+// zone simulates several entries of one availability zone in virtual time. Each entry
+// holds some of the targets and owns the jobs that it receives.
 type zone struct {
 	*sim
-	pools    []*Pool
-	owners   []*split.Splitter
-	hop      time.Duration // one way between entries
-	every    time.Duration // between reports
-	apart    bool          // each holder is in a zone of its own
-	messages int
-	open     map[job.ID]bool // jobs without an answer
-	skewed   bool            // one entry owns all jobs
-	alone    bool            // each owner uses its own targets only
-	blind    bool            // owners don't count what they have sent
+	pools          []*Pool
+	owners         []*split.Splitter
+	latency        time.Duration // one-way latency between entries
+	reportInterval time.Duration // between load reports
+	separateZones  bool          // each holder is in a separate zone
+	messages       int
+	open           map[job.ID]bool // jobs without an answer
+	singleOwner    bool            // one entry owns all jobs
+	ownTargetsOnly bool            // each owner uses its own targets only
+	reportsOnly    bool            // owners don't count the tasks that they have sent
 }
 
-// reportsEvery is the heartbeat of a zone's entries.
-const reportsEvery = 250 * ms
+// zoneReportInterval is the interval of load reports within a zone.
+const zoneReportInterval = 250 * ms
 
-// crossing is one way between zones, and crossReports the heartbeat there.
+// crossZoneLatency is the one-way latency between zones, crossZoneReportInterval the
+// interval of load reports between them.
 const (
-	crossing     = 1500 * time.Microsecond
-	crossReports = time.Second
+	crossZoneLatency        = 1500 * time.Microsecond
+	crossZoneReportInterval = time.Second
 )
 
-// newZones is holders that each stand in a zone of their own.
+// newZones returns a simulation in which each holder is in a separate zone.
 func newZones(holders, targets int) *zone {
 	z := newZone(holders, targets)
-	z.hop, z.every, z.apart = crossing, crossReports, true
+	z.latency, z.reportInterval, z.separateZones = crossZoneLatency, crossZoneReportInterval, true
 	for h := range z.owners {
 		z.owners[h] = split.New(entryName(h), z.name(h), split.DefaultCosts(), uint64(h))
 	}
@@ -48,14 +49,14 @@
 }
 
 func (z *zone) name(h int) job.Zone {
-	if z.apart {
+	if z.separateZones {
 		return job.Zone(fmt.Sprint("z", h))
 	}
 	return "z"
 }
 
 func newZone(holders, targets int) *zone {
-	z := &zone{sim: newSim(Options{}, 0, 0, nil), hop: 300 * time.Microsecond, every: reportsEvery, open: map[job.ID]bool{}}
+	z := &zone{sim: newSim(Options{}, 0, 0, nil), latency: 300 * time.Microsecond, reportInterval: zoneReportInterval, open: map[job.ID]bool{}}
 	z.slots = holders * targets * 8
 	for h := range holders {
 		p := New("render", uint64(h))
@@ -81,11 +82,11 @@
 }
 
 func (z *zone) report(h int) {
-	z.after(z.every, func() {
+	z.after(z.reportInterval, func() {
 		l, at := z.load(h), z.now
 		for o, s := range z.owners {
-			if o != h && !z.alone {
-				z.after(z.hop, func() { s.Report(at, l) })
+			if o != h && !z.ownTargetsOnly {
+				z.after(z.latency, func() { s.Report(at, l) })
 			}
 		}
 		if len(z.open) > 0 || z.now.Sub(epoch) < time.Second {
@@ -98,7 +99,7 @@
 	for i := range arrivals {
 		a := &arrivals[i]
 		id, o := job.ID(fmt.Sprint("j", i)), i%len(z.pools)
-		if z.skewed {
+		if z.singleOwner {
 			o = 0
 		}
 		z.open[id] = true
@@ -125,14 +126,14 @@
 	plan := s.Split(z.now, "render", job.UrgencyInteractive, tasks)
 	for _, part := range plan.Parts {
 		var h int
-		if z.blind {
+		if z.reportsOnly {
 			s.Returned("render", part.Entry, len(part.Tasks), 0)
 		}
 		fmt.Sscanf(string(part.Entry), "e%d", &h)
 		m := &job.Batch{Owner: job.Owner{Entry: entryName(o)}, Submission: id, Team: a.team, Service: a.service, Tasks: part.Tasks}
 		delay := time.Duration(0)
 		if h != o {
-			delay = z.hop
+			delay = z.latency
 			z.messages += 2
 		}
 		z.after(delay, func() {
@@ -154,12 +155,12 @@
 	z.pools[h].Finished(z.now, x.Key, Result{Ran: run, Status: job.TaskDone})
 	var o int
 	fmt.Sscanf(string(x.Owner.Entry), "e%d", &o)
-	delay := z.hop
+	delay := z.latency
 	if o == h {
 		delay = 0
 	}
 	z.after(delay, func() {
-		if !z.blind {
+		if !z.reportsOnly {
 			z.owners[o].Returned("render", entryName(h), 1, run)
 		}
 		j := z.jobs[x.Submission]
@@ -178,22 +179,22 @@
 	}
 }
 
-// Three entries hold seven targets each, which is what today's zones come to,
-// and jobs reach them by a balancer, or all reach one. An owner sees the others'
-// load by reports of four a second. Kept to its own targets, or led by reports
-// alone, it would let jobs wait beside idle slots.
-func TestSplitComesNearOnePool(t *testing.T) {
+// Three entries hold seven targets each, as in today's zones. Jobs reach them through
+// a load balancer, or all reach one entry. An owner receives the load of the others in
+// four reports a second. If it used only its own targets, or relied on the reports
+// alone, jobs would wait while slots are idle.
+func TestSplitApproachesOnePool(t *testing.T) {
 	t.Parallel()
 	const end, slots, share = 15 * time.Second, 168, 0.8
 	arrivals := func() []arrival {
-		return mix(
-			load{group: "one", team: "a", service: "thumb", until: end, tasksPerSecond: share / 2 * slots / meanUsual, tasks: 1, run: usual},
-			load{group: "job", team: "b", service: "thumb", until: end, tasksPerSecond: share / 2 * slots / meanUsual, tasks: 12, run: usual},
+		return mergeLoads(
+			load{group: "one", team: "a", service: "thumb", until: end, tasksPerSecond: share / 2 * slots / meanUsualSeconds, tasks: 1, run: usualRun},
+			load{group: "job", team: "b", service: "thumb", until: end, tasksPerSecond: share / 2 * slots / meanUsualSeconds, tasks: 12, run: usualRun},
 		)
 	}
-	play := func(name string, z *zone) (one, jobs figures) {
+	play := func(name string, z *zone) (one, jobs summary) {
 		z.play(arrivals())
-		one, jobs = z.figures("one", 2*time.Second, end), z.figures("job", 2*time.Second, end)
+		one, jobs = z.summary("one", 2*time.Second, end), z.summary("job", 2*time.Second, end)
 		t.Logf("%-22s singles: %v", name, one)
 		t.Logf("%-22s jobs of 12: %v; %.2f messages a job", name, jobs, float64(z.messages)/float64(len(z.answers)))
 		return one, jobs
@@ -201,34 +202,34 @@
 	pooled, pooledJobs := play("one holder", newZone(1, 21))
 	split, splitJobs := play("three", newZone(3, 7))
 	one := newZone(3, 7)
-	one.skewed = true
-	skewed, skewedJobs := play("three, one owner", one)
-	alone := newZone(3, 7)
-	alone.alone = true
-	_, unsplitJobs := play("three, own targets", alone)
-	blind := newZone(3, 7)
-	blind.blind, blind.skewed = true, true
-	uncorrected, _ := play("three, reports alone", blind)
+	one.singleOwner = true
+	singleOwner, singleOwnerJobs := play("three, one owner", one)
+	ownTargetsOnly := newZone(3, 7)
+	ownTargetsOnly.ownTargetsOnly = true
+	_, ownTargetsJobs := play("three, own targets", ownTargetsOnly)
+	reportsOnly := newZone(3, 7)
+	reportsOnly.reportsOnly, reportsOnly.singleOwner = true, true
+	reportsOnlySingles, _ := play("three, reports alone", reportsOnly)
 	qt.Check(t, split.p99 < 1.25*pooled.p99, qt.IsTrue)
-	qt.Check(t, skewed.p99 < 1.25*pooled.p99, qt.IsTrue)
+	qt.Check(t, singleOwner.p99 < 1.25*pooled.p99, qt.IsTrue)
 	qt.Check(t, splitJobs.p99 < 1.25*pooledJobs.p99, qt.IsTrue)
-	qt.Check(t, skewedJobs.p99 < 1.25*pooledJobs.p99, qt.IsTrue)
-	qt.Check(t, unsplitJobs.p99 > 1.25*splitJobs.p99, qt.IsTrue)
-	qt.Check(t, uncorrected.p99 > 1.5*skewed.p99, qt.IsTrue)
+	qt.Check(t, singleOwnerJobs.p99 < 1.25*pooledJobs.p99, qt.IsTrue)
+	qt.Check(t, ownTargetsJobs.p99 > 1.25*splitJobs.p99, qt.IsTrue)
+	qt.Check(t, reportsOnlySingles.p99 > 1.5*singleOwner.p99, qt.IsTrue)
 }
 
-// Most jobs of a morning arrive in one of three zones: more than its targets
-// can do, while the others have room. Without spilling over its callers are
-// refused or wait; spilling at every small wait would send work across for
-// nothing, and zones of like load would send it past each other.
+// All jobs arrive in one of three zones, which exceeds the capacity of its targets
+// while the other zones have free capacity. Without spilling to other zones, its
+// callers are refused or wait. Spilling at every short wait would send work to other
+// zones needlessly, and zones with similar load would exchange it.
 func TestSpillToOtherZones(t *testing.T) {
 	t.Parallel()
 	const end, slots = 15 * time.Second, 3 * 136
-	play := func(name string, share float64, skewed, alone bool) (figures, float64) {
+	play := func(name string, share float64, singleOwner, ownTargetsOnly bool) (summary, float64) {
 		z := newZones(3, 17)
-		z.skewed, z.alone = skewed, alone
-		z.play(mix(load{group: "a", team: "a", service: "thumb", until: end, tasksPerSecond: share * slots / meanUsual, tasks: 4, run: usual}))
-		f := z.figures("a", 3*time.Second, end)
+		z.singleOwner, z.ownTargetsOnly = singleOwner, ownTargetsOnly
+		z.play(mergeLoads(load{group: "a", team: "a", service: "thumb", until: end, tasksPerSecond: share * slots / meanUsualSeconds, tasks: 4, run: usualRun}))
+		f := z.summary("a", 3*time.Second, end)
 		crossed := float64(z.messages) / float64(len(z.answers))
 		t.Logf("%-28s %v; %.2f messages a job", name, f, crossed)
 		return f, crossed
