--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -17,14 +17,14 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer/peertest"
 )
 
-// bench is a holder that counts how often each task starts and reports a batch
-// after a while.
-type bench struct {
-	takes time.Duration
-	// fails is a task that fails at once.
-	fails int
-	// taking, when set, is called before a batch is taken.
-	taking func()
+// fakeHolder is a Holder that counts the starts of each task and reports a batch
+// after a fixed time.
+type fakeHolder struct {
+	reportAfter time.Duration
+	// failingTask is the index of a task that fails immediately.
+	failingTask int
+	// beforeOffer, if set, is called before a batch is accepted.
+	beforeOffer func()
 
 	mu        sync.Mutex
 	starts    map[string]int
@@ -32,9 +32,9 @@
 	batches   []job.Batch
 }
 
-func (h *bench) Offer(b *job.Batch, report func([]job.TaskOutcome)) {
-	if h.taking != nil {
-		h.taking()
+func (h *fakeHolder) Offer(b *job.Batch, report func([]job.TaskOutcome)) {
+	if h.beforeOffer != nil {
+		h.beforeOffer()
 	}
 	h.mu.Lock()
 	h.batches = append(h.batches, *b)
@@ -44,13 +44,13 @@
 	h.mu.Unlock()
 	go func() {
 		for i := range b.Tasks {
-			if b.Tasks[i].Index == h.fails {
-				report([]job.TaskOutcome{{Index: h.fails, Status: job.TaskErred, Reason: job.TaskFailed}})
+			if b.Tasks[i].Index == h.failingTask {
+				report([]job.TaskOutcome{{Index: h.failingTask, Status: job.TaskErred, Reason: job.TaskFailed}})
 				return
 			}
 		}
-		time.Sleep(h.takes)
-		outcomes := whole(b, job.TaskDone, "", "")
+		time.Sleep(h.reportAfter)
+		outcomes := uniformOutcomes(b, job.TaskDone, "", "")
 		for i := range outcomes {
 			outcomes[i].Payload = []byte(fmt.Sprint(outcomes[i].Index))
 		}
@@ -58,36 +58,36 @@
 	}()
 }
 
-func (h *bench) Cancel(_ job.Owner, id job.ID) {
+func (h *fakeHolder) Cancel(_ job.Owner, id job.ID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.cancelled = append(h.cancelled, id)
 }
 
-// setting is an owner and a holder with a network between them.
-type setting struct {
+// fixture is an owner and a holder with a network between them.
+type fixture struct {
 	t      *testing.T
 	net    *peertest.Network
-	holder *bench
+	holder *fakeHolder
 	server *Server
 	remote *Remote
 	gone   atomic.Bool
 }
 
 var (
-	ownerLife  = job.Owner{Entry: "owner", Incarnation: 1, Zone: "z"}
-	holderLife = job.Owner{Entry: "holder", Incarnation: 7, Zone: "z"}
+	ownerID  = job.Owner{Entry: "owner", Incarnation: 1, Zone: "z"}
+	holderID = job.Owner{Entry: "holder", Incarnation: 7, Zone: "z"}
 )
 
-func run(t *testing.T, test func(s *setting)) {
+func run(t *testing.T, test func(s *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &setting{t: t, net: &peertest.Network{Delay: time.Millisecond}}
-		s.holder = &bench{takes: 300 * time.Millisecond, fails: -1, starts: map[string]int{}}
+		s := &fixture{t: t, net: &peertest.Network{Delay: time.Millisecond}}
+		s.holder = &fakeHolder{reportAfter: 300 * time.Millisecond, failingTask: -1, starts: map[string]int{}}
 		s.remote = NewRemote(RemoteOptions{
-			Mesh: s.net.Join(ownerLife),
+			Mesh: s.net.Join(ownerID),
 			Gone: func(job.EntryID, job.Incarnation) bool { return s.gone.Load() },
 		})
-		s.server = Serve(s.net.Join(holderLife), s.holder)
+		s.server = Serve(s.net.Join(holderID), s.holder)
 		test(s)
 		time.Sleep(time.Minute)
 		s.net.Leave("owner")
@@ -103,19 +103,19 @@
 	return b
 }
 
-func (s *setting) offer(ctx context.Context, b *job.Batch) <-chan []job.TaskOutcome {
+func (s *fixture) offer(ctx context.Context, b *job.Batch) <-chan []job.TaskOutcome {
 	got := make(chan []job.TaskOutcome, 2)
-	s.remote.Offer(ctx, "holder", holderLife.Incarnation, b, func(o []job.TaskOutcome) { got <- o })
+	s.remote.Offer(ctx, "holder", holderID.Incarnation, b, func(o []job.TaskOutcome) { got <- o })
 	return got
 }
 
-func (s *setting) cancelled(want ...job.ID) {
+func (s *fixture) assertCancelled(want ...job.ID) {
 	s.holder.mu.Lock()
 	defer s.holder.mu.Unlock()
 	qt.Assert(s.t, s.holder.cancelled, qt.DeepEquals, want)
 }
 
-func (s *setting) atMostOnce() {
+func (s *fixture) assertAtMostOnce() {
 	s.holder.mu.Lock()
 	defer s.holder.mu.Unlock()
 	for task, n := range s.holder.starts {
@@ -137,11 +137,11 @@
 	twoNotStarted = "0:3holder_lost 1:3holder_lost "
 )
 
-// Messages between entries are what one of the users counts: a batch must take
-// two, however many tasks it has, with no third for an acknowledgement.
+// One of the users counts the messages between entries: a batch must take two
+// messages, however many tasks it has, and no third for an acknowledgement.
 func TestBatchTakesTwoMessages(t *testing.T) {
 	for _, tasks := range []int{1, 10, 100} {
-		run(t, func(s *setting) {
+		run(t, func(s *fixture) {
 			indices := make([]int, tasks)
 			for i := range indices {
 				indices[i] = i
@@ -157,20 +157,20 @@
 				last += len(fmt.Sprint(i))
 			}
 			qt.Assert(t, s.server.bytes, qt.Equals, last) // the earlier offers were acknowledged
-			qt.Assert(t, s.holder.batches[0].Owner, qt.Equals, ownerLife)
+			qt.Assert(t, s.holder.batches[0].Owner, qt.Equals, ownerID)
 		})
 	}
 }
 
-// The link breaks after the holder got a batch, before or while it reports. The
-// owner asks again when the link is back; the tasks must have started once and
+// The link breaks after the holder received a batch, before or while it reports.
+// The owner asks again when the link is back. Each task must start only once and
 // the results must arrive.
-func TestLostAnswerIsAskedForAgain(t *testing.T) {
+func TestLostAnswerIsRequestedAgain(t *testing.T) {
 	for _, lose := range []struct {
 		answer bool
 		times  int
 	}{{true, 1}, {true, 3}, {false, 1}, {false, 3}} {
-		run(t, func(s *setting) {
+		run(t, func(s *fixture) {
 			lost := 0
 			var mu sync.Mutex
 			s.net.SetDrop(func(_, _ job.EntryID, kind peer.Kind, answer bool) bool {
@@ -185,16 +185,17 @@
 			outcomes := <-s.offer(s.t.Context(), batch("a", 0, 1))
 			qt.Assert(t, statuses(outcomes), qt.Equals, twoDone)
 			qt.Assert(t, lost, qt.Equals, lose.times)
-			s.atMostOnce()
+			s.assertAtMostOnce()
 		})
 	}
 }
 
-// Many batches over a network that loses a third of all messages, by several
-// fixed seeds. Every task must start at most once and every batch be reported.
+// Many batches are sent over a network that loses a third of all messages, with
+// several fixed seeds. Every task must start at most once and every batch must be
+// reported.
 func TestLossyNetworkNeverDoublesATask(t *testing.T) {
 	for seed := range uint64(5) {
-		run(t, func(s *setting) {
+		run(t, func(s *fixture) {
 			s.net.SetDrop(peertest.LoseAtRandom(seed, 0.33))
 			var all []<-chan []job.TaskOutcome
 			for i := range 40 {
@@ -203,37 +204,37 @@
 			for _, got := range all {
 				qt.Assert(t, statuses(<-got), qt.Equals, twoDone)
 			}
-			s.atMostOnce()
+			s.assertAtMostOnce()
 		})
 	}
 }
 
-// What an owner may say of tasks depends on how it lost the holder. "Not
-// started" where they may have run would bill a studio twice; "may have run"
-// where they can't have would fail jobs for nothing.
-func TestWhatIsSaidOfALostHolder(t *testing.T) {
+// The outcomes that an owner may report depend on how it lost the holder. "Not
+// started" for tasks that may have run would bill a studio twice; "may have run"
+// for tasks that can't have run would fail jobs for no reason.
+func TestOutcomesAfterALostHolder(t *testing.T) {
 	tests := []struct {
 		name string
-		act  func(s *setting)
-		late func(s *setting)
+		act  func(s *fixture)
+		late func(s *fixture)
 		want string
 	}{
-		{"never reached", func(s *setting) { s.net.CutBoth("owner", "holder", true) }, nil, twoNotStarted},
-		{"killed after it got them", nil, func(s *setting) { s.net.Leave("holder"); s.gone.Store(true) }, twoLost},
-		{"cut off for long", nil, func(s *setting) { s.net.CutBoth("owner", "holder", true) }, twoLost},
-		{"restarted meanwhile", nil, func(s *setting) {
-			next := holderLife
+		{"never reached", func(s *fixture) { s.net.CutBoth("owner", "holder", true) }, nil, twoNotStarted},
+		{"killed after it received them", nil, func(s *fixture) { s.net.Leave("holder"); s.gone.Store(true) }, twoLost},
+		{"unreachable for long", nil, func(s *fixture) { s.net.CutBoth("owner", "holder", true) }, twoLost},
+		{"restarted meanwhile", nil, func(s *fixture) {
+			next := holderID
 			next.Incarnation++
 			Serve(s.net.Join(next), s.holder)
 		}, twoLost},
-		{"cut off and back", nil, func(s *setting) {
+		{"unreachable and back", nil, func(s *fixture) {
 			s.net.CutBoth("owner", "holder", true)
 			time.AfterFunc(2*time.Second, func() { s.net.CutBoth("owner", "holder", false) })
 		}, twoDone},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			run(t, func(s *setting) {
+			run(t, func(s *fixture) {
 				if test.act != nil {
 					test.act(s)
 				}
@@ -243,17 +244,17 @@
 					test.late(s)
 				}
 				qt.Assert(t, statuses(<-got), qt.Equals, test.want)
-				s.atMostOnce()
+				s.assertAtMostOnce()
 			})
 		})
 	}
 }
 
-// One task of many fails. The caller must learn it at once and not after the
-// longest of the others, since its job can't be complete any more.
+// One of several tasks fails, so the job can no longer complete. The owner must
+// receive the failure immediately, not after the longest of the other tasks.
 func TestFailureIsReportedAtOnce(t *testing.T) {
-	run(t, func(s *setting) {
-		s.holder.fails, s.holder.takes = 1, 10*time.Second
+	run(t, func(s *fixture) {
+		s.holder.failingTask, s.holder.reportAfter = 1, 10*time.Second
 		start := time.Now()
 		outcomes := <-s.offer(s.t.Context(), batch("a", 0, 1, 2))
 		qt.Assert(t, statuses(outcomes), qt.Equals, "1:2task_failed ")
@@ -261,14 +262,14 @@
 	})
 }
 
-// A cancellation overtakes the batch that it cancels, or the owner gives up, or
-// dies. The holder must not go on spending slots on the batch.
+// A cancellation overtakes the batch that it cancels, or the owner abandons the
+// batch, or the owner dies. The holder must not use slots for the batch any more.
 func TestCancellations(t *testing.T) {
-	run(t, func(s *setting) {
+	run(t, func(s *fixture) {
 		number := s.remote.begin("a", "holder")
 		s.remote.Cancel("holder", "a")
 		time.Sleep(10 * time.Millisecond)
-		outcomes := s.remote.deliver(s.t.Context(), "holder", offer{Number: number, To: holderLife.Incarnation, Batch: *batch("a", 0)})
+		outcomes := s.remote.deliver(s.t.Context(), "holder", offer{Number: number, To: holderID.Incarnation, Batch: *batch("a", 0)})
 		qt.Assert(t, statuses(outcomes), qt.Equals, "0:3cancelled_by_caller ")
 		qt.Assert(t, s.holder.batches, qt.HasLen, 0)
 
@@ -278,62 +279,62 @@
 		cancel()
 		qt.Assert(t, statuses(<-got), qt.Equals, twoLost)
 		time.Sleep(10 * time.Millisecond)
-		s.cancelled("a", "b")
+		s.assertCancelled("a", "b")
 
 		s.offer(s.t.Context(), batch("c", 0, 1))
 		time.Sleep(10 * time.Millisecond)
-		s.server.OwnerGone("owner", ownerLife.Incarnation)
-		s.cancelled("a", "b", "b", "c")
+		s.server.OwnerGone("owner", ownerID.Incarnation)
+		s.assertCancelled("a", "b", "b", "c")
 	})
 }
 
-// A cancellation arrives while the holder is just taking the batch. It must be
-// carried out once more afterwards: the first time it met nothing.
-func TestCancellationWhileABatchIsTaken(t *testing.T) {
-	run(t, func(s *setting) {
-		s.holder.taking = func() {
+// A cancellation arrives while the holder is still accepting the batch. It must be
+// repeated afterwards, because the first attempt found no batch.
+func TestCancellationDuringAnOffer(t *testing.T) {
+	run(t, func(s *fixture) {
+		s.holder.beforeOffer = func() {
 			s.remote.Cancel("holder", "a")
 			time.Sleep(10 * time.Millisecond)
-			s.cancelled("a")
+			s.assertCancelled("a")
 		}
 		s.offer(s.t.Context(), batch("a", 0))
 		time.Sleep(50 * time.Millisecond)
-		s.cancelled("a", "a")
+		s.assertCancelled("a", "a")
 	})
 }
 
-// A holder forgets old reports to keep its memory bounded. When an owner that
-// was cut off for long asks for such a batch again, running it would be a
-// second start.
+// A holder deletes old reports to bound its memory. An owner that was unreachable
+// for long asks for such a batch again. The holder must not run it, since that
+// would be a second start.
 func TestForgottenOfferIsNotRunAgain(t *testing.T) {
-	run(t, func(s *setting) {
-		o := offer{Number: 1, To: holderLife.Incarnation, Batch: *batch("a", 0, 1)}
+	run(t, func(s *fixture) {
+		o := offer{Number: 1, To: holderID.Incarnation, Batch: *batch("a", 0, 1)}
 		qt.Assert(t, statuses(s.remote.deliver(s.t.Context(), "holder", o)), qt.Equals, twoDone)
 		time.Sleep(keepReported + time.Second)
-		later := offer{Number: 2, To: holderLife.Incarnation, Batch: *batch("b", 0, 1)}
+		later := offer{Number: 2, To: holderID.Incarnation, Batch: *batch("b", 0, 1)}
 		qt.Assert(t, statuses(s.remote.deliver(s.t.Context(), "holder", later)), qt.Equals, twoDone)
 		qt.Assert(t, len(s.server.records), qt.Equals, 1)
 		qt.Assert(t, statuses(s.remote.deliver(s.t.Context(), "holder", o)), qt.Equals, twoLost)
-		s.atMostOnce()
+		s.assertAtMostOnce()
 	})
 }
 
-// An owner dies after a holder finished its part. Whoever takes the submission
-// over must get the results that are still held.
+// An owner dies after a holder finished its part. The entry that takes over the
+// submission must receive the results that the holder still has.
 func TestFetchOfALostOwnersResults(t *testing.T) {
-	run(t, func(s *setting) {
+	run(t, func(s *fixture) {
 		s.net.SetDrop(func(_, _ job.EntryID, kind peer.Kind, answer bool) bool { return kind == peer.BatchOffer && answer })
 		s.offer(s.t.Context(), batch("a", 0, 1))
 		time.Sleep(time.Second)
 		taker := NewRemote(RemoteOptions{Mesh: s.net.Join(job.Owner{Entry: "taker", Incarnation: 1})})
 		defer s.net.Leave("taker")
-		held := taker.Fetch(s.t.Context(), []job.EntryID{"holder", "nobody"}, ownerLife, "a")
+		held := taker.Fetch(s.t.Context(), []job.EntryID{"holder", "nobody"}, ownerID, "a")
 		qt.Assert(t, statuses(held), qt.Equals, twoDone)
 		s.net.SetDrop(nil)
 	})
 }
 
-// registry is the list of targets that one entry holds.
+// registry counts the announcements of the targets that one entry holds.
 type registry map[job.TargetID]int
 
 func (r registry) Announce(t job.Target) (time.Duration, error) {
@@ -344,9 +345,9 @@
 	return 4 * time.Second, nil
 }
 
-// A target announces itself to any entry. It must end up at its one holder,
-// also while the entries' views of the zone differ for a moment, and be told
-// when nobody can hold it.
+// A target announces itself to an arbitrary entry. The announcement must reach its
+// only holder, even while the entries' views of the zone differ, and must return an
+// error if no entry can hold the target.
 func TestForwardTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := &peertest.Network{}
--- a/internal/handover/hangup_test.go
+++ b/internal/handover/hangup_test.go
@@ -13,7 +13,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer/peertest"
 )
 
-// resettable is a node whose links break at a word: calls that wait end without an answer.
+// resettable is a node whose links a test can break: pending calls then end without an answer.
 type resettable struct {
 	*peertest.Node
 
@@ -44,22 +44,22 @@
 	return r.Node.Call(ctx, to, kind, req, resp)
 }
 
-func hangUpSetting(s *setting) *resettable {
-	mesh := &resettable{Node: s.net.Join(ownerLife), broken: make(chan struct{})}
-	heard := func(job.EntryID, job.Incarnation) time.Duration { return 100 * time.Millisecond }
-	s.remote = NewRemote(RemoteOptions{Mesh: mesh, Silent: heard})
+func useResettableMesh(s *fixture) *resettable {
+	mesh := &resettable{Node: s.net.Join(ownerID), broken: make(chan struct{})}
+	sinceLastMessage := func(job.EntryID, job.Incarnation) time.Duration { return 100 * time.Millisecond }
+	s.remote = NewRemote(RemoteOptions{Mesh: mesh, Silent: sinceLastMessage})
 	return mesh
 }
 
-// All channels of a machine are reset at once: the caller's, and the link to the holder.
-// The owner learns that its caller is gone and takes the job back while the link is down;
-// 50 ms later the link stands again, and the holder goes on hearing the owner. It has to
-// learn of the cancellation: the caller sends the job elsewhere 1.3 s after the reset, and
-// pays for two runs at a time.
-func TestACancellationOutlivesABrokenLink(t *testing.T) {
-	run(t, func(s *setting) {
-		mesh := hangUpSetting(s)
-		s.holder.takes = 5 * time.Second
+// All connections of a machine are reset at once: the caller's, and the link to the holder.
+// The owner detects that its caller is gone and cancels the job while the link is down.
+// 50 ms later the link is up again, and the holder keeps receiving messages from the owner.
+// The cancellation must reach the holder: the caller sends the job elsewhere 1.3 s after the
+// reset, and would pay for two runs at the same time.
+func TestCancellationSurvivesABrokenLink(t *testing.T) {
+	run(t, func(s *fixture) {
+		mesh := useResettableMesh(s)
+		s.holder.reportAfter = 5 * time.Second
 		b := batch("a", 0)
 		b.Transient = true
 		s.offer(context.Background(), b)
@@ -76,13 +76,13 @@
 	})
 }
 
-// The link breaks while an offer is under way, and the caller hangs up before it stands
-// again. The owner knows that nobody waits any more: it must not have the holder start the
-// job 600 ms later, just before the caller has it run elsewhere.
-func TestAnOfferIsNotSentAgainAfterItsCancellation(t *testing.T) {
-	run(t, func(s *setting) {
-		mesh := hangUpSetting(s)
-		s.holder.takes = 5 * time.Second
+// The link breaks while an offer is in transit, and the caller hangs up before the link is
+// up again. The owner knows that nobody waits for the job any more. It must not send the
+// offer again 600 ms later, just before the caller sends the job elsewhere.
+func TestOfferIsNotResentAfterItsCancellation(t *testing.T) {
+	run(t, func(s *fixture) {
+		mesh := useResettableMesh(s)
+		s.holder.reportAfter = 5 * time.Second
 		s.net.SetDrop(func(_, _ job.EntryID, kind peer.Kind, _ bool) bool { return kind == peer.BatchOffer })
 		b := batch("a", 0)
 		b.Transient = true
--- a/internal/handover/load_test.go
+++ b/internal/handover/load_test.go
@@ -11,16 +11,16 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Guards against owners that go by a holder's load of before their own work ended there, since
-// the next heartbeat is half a second away.
-func TestAnswersTellTheLoadOfTheirPool(t *testing.T) {
-	run(t, func(s *setting) {
+// Guards against owners that use a holder's load from before their own work there ended: the
+// next heartbeat, which would update it, is half a second away.
+func TestAnswersReportTheLoadOfTheirPool(t *testing.T) {
+	run(t, func(s *fixture) {
 		s.server.TellLoads(func(pool string) job.HolderLoad {
 			return job.HolderLoad{Pool: pool, Entry: "holder", Zone: "z", Free: 3}
 		})
 		var mu sync.Mutex
-		var told []job.HolderLoad
-		counted := false
+		var loads []job.HolderLoad
+		reported := false
 		s.remote = NewRemote(RemoteOptions{
 			Mesh: s.net.Join(job.Owner{Entry: "second", Incarnation: 1, Zone: "y"}),
 			Gone: func(job.EntryID, job.Incarnation) bool { return false },
@@ -28,24 +28,24 @@
 				mu.Lock()
 				defer mu.Unlock()
 				qt.Check(t, from, qt.Equals, job.EntryID("holder"))
-				qt.Check(t, counted, qt.IsFalse)
-				told = append(told, l)
+				qt.Check(t, reported, qt.IsFalse)
+				loads = append(loads, l)
 			},
 		})
 		defer s.net.Leave("second")
 		b := batch("j", 0, 1)
 		b.Pool = "gpu"
 		done := make(chan struct{})
-		s.remote.Offer(context.Background(), "holder", holderLife.Incarnation, b, func([]job.TaskOutcome) {
+		s.remote.Offer(context.Background(), "holder", holderID.Incarnation, b, func([]job.TaskOutcome) {
 			mu.Lock()
 			defer mu.Unlock()
-			counted = true
+			reported = true
 			close(done)
 		})
 		<-done
 		time.Sleep(time.Second)
 		mu.Lock()
 		defer mu.Unlock()
-		qt.Assert(t, told, qt.DeepEquals, []job.HolderLoad{{Pool: "gpu", Free: 3}})
+		qt.Assert(t, loads, qt.DeepEquals, []job.HolderLoad{{Pool: "gpu", Free: 3}})
 	})
 }
--- a/internal/handover/lost_test.go
+++ b/internal/handover/lost_test.go
@@ -15,20 +15,20 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// flapping is a mesh whose link to the holder breaks again and again: each call
-// takes a while and ends without an answer, until the holder reports.
-type flapping struct {
-	breaks int
-	takes  time.Duration
-	down   bool
+// flappingMesh is a mesh whose link to the holder breaks repeatedly: each call
+// takes callTime and ends without an answer, until the holder reports.
+type flappingMesh struct {
+	failingCalls int
+	callTime     time.Duration
+	down         bool
 
 	mu    sync.Mutex
 	calls int
 }
 
-func (f *flapping) Self() job.Owner { return job.Owner{Entry: "o", Incarnation: 1} }
+func (f *flappingMesh) Self() job.Owner { return job.Owner{Entry: "o", Incarnation: 1} }
 
-func (f *flapping) Call(ctx context.Context, _ job.EntryID, _ peer.Kind, req, resp any) error {
+func (f *flappingMesh) Call(ctx context.Context, _ job.EntryID, _ peer.Kind, req, resp any) error {
 	f.mu.Lock()
 	f.calls++
 	n := f.calls
@@ -36,28 +36,28 @@
 	if f.down && n > 1 {
 		return peer.ErrNotSent
 	}
-	time.Sleep(f.takes)
-	if n <= f.breaks {
+	time.Sleep(f.callTime)
+	if n <= f.failingCalls {
 		return peer.ErrNoAnswer
 	}
 	o := req.(offer)
-	raw, err := cbor.Marshal(report{Verdict: verdictReported, Outcomes: whole(&o.Batch, job.TaskDone, "", "")})
+	raw, err := cbor.Marshal(report{Verdict: resultReported, Outcomes: uniformOutcomes(&o.Batch, job.TaskDone, "", "")})
 	if err != nil {
 		return err
 	}
 	return cbor.Unmarshal(raw, resp)
 }
 
-func (f *flapping) Send(job.EntryID, peer.Kind, any) error       { return nil }
-func (f *flapping) Handle(peer.Kind, peer.Handler)               {}
-func (f *flapping) HandleInOrder(kind peer.Kind, h peer.Handler) {}
+func (f *flappingMesh) Send(job.EntryID, peer.Kind, any) error       { return nil }
+func (f *flappingMesh) Handle(peer.Kind, peer.Handler)               {}
+func (f *flappingMesh) HandleInOrder(kind peer.Kind, h peer.Handler) {}
 func transientBatch() *job.Batch {
 	return &job.Batch{Submission: "j", Transient: true, Tasks: []job.BatchTask{{Index: 0}}}
 }
 
-func deliverOver(t *testing.T, f *flapping, silent func(job.EntryID, job.Incarnation) time.Duration) (job.TaskOutcome, time.Duration) {
+func deliverOver(t *testing.T, f *flappingMesh, sinceLastMessage func(job.EntryID, job.Incarnation) time.Duration) (job.TaskOutcome, time.Duration) {
 	t.Helper()
-	r := NewRemote(RemoteOptions{Mesh: f, Silent: silent})
+	r := NewRemote(RemoteOptions{Mesh: f, Silent: sinceLastMessage})
 	got := make(chan []job.TaskOutcome, 1)
 	begun := time.Now()
 	r.Offer(context.Background(), "h", 1, transientBatch(), func(o []job.TaskOutcome) { got <- o })
@@ -66,33 +66,34 @@
 	return outcomes[0], time.Since(begun)
 }
 
-// The link between an owner and a holder breaks every second and comes back at
-// once. The holder hears the owner all the while and goes on with its tasks: called
-// lost, they would run twice at a time.
+// The link between an owner and a holder breaks every second and comes back
+// immediately. The holder keeps receiving messages from the owner and continues its
+// tasks. If the owner considered them lost, they would run twice at the same time.
 func TestFlappingLinkLosesNoHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		heard := func(job.EntryID, job.Incarnation) time.Duration { return 200 * time.Millisecond }
-		o, _ := deliverOver(t, &flapping{breaks: 4, takes: time.Second}, heard)
+		sinceLastMessage := func(job.EntryID, job.Incarnation) time.Duration { return 200 * time.Millisecond }
+		o, _ := deliverOver(t, &flappingMesh{failingCalls: 4, callTime: time.Second}, sinceLastMessage)
 		qt.Assert(t, o.Status, qt.Equals, job.TaskDone)
 	})
 }
 
-// lossesKept counts the batches that were recorded as lost.
-type lossesKept struct{ lost []timeline.Event }
+// lossRecorder keeps the events of lost batches.
+type lossRecorder struct{ lost []timeline.Event }
 
-func (k *lossesKept) Record(ev timeline.Event) {
+func (k *lossRecorder) Record(ev timeline.Event) {
 	if ev.Kind == timeline.BatchLost {
 		k.lost = append(k.lost, ev)
 	}
 }
 
-// A holder is gone for good, and its tasks run a second time elsewhere. Who wonders why
-// a job took two seconds finds which holder was lost and by what its owner judged.
+// A holder is permanently lost, and its tasks run a second time elsewhere. The events must
+// show which holder was lost and on what grounds its owner decided so: they explain why the
+// job took two seconds.
 func TestLostHolderIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		kept := &lossesKept{}
-		gone := func(job.EntryID, job.Incarnation) time.Duration { return time.Hour }
-		r := NewRemote(RemoteOptions{Mesh: &flapping{breaks: 1, takes: 100 * time.Millisecond, down: true}, Silent: gone, Events: kept})
+		kept := &lossRecorder{}
+		sinceLastMessage := func(job.EntryID, job.Incarnation) time.Duration { return time.Hour }
+		r := NewRemote(RemoteOptions{Mesh: &flappingMesh{failingCalls: 1, callTime: 100 * time.Millisecond, down: true}, Silent: sinceLastMessage, Events: kept})
 		got := make(chan []job.TaskOutcome, 1)
 		r.Offer(context.Background(), "h", 1, transientBatch(), func(o []job.TaskOutcome) { got <- o })
 		<-got
@@ -103,16 +104,16 @@
 	})
 }
 
-// A holder is gone for good. Its owner may place the tasks anew, but not before
-// the holder, if it lives, has stopped them, or the leases of its targets have run
-// out.
-func TestLostHolderGivesTasksBackWhenTheyAreOver(t *testing.T) {
+// A holder is permanently lost. Its owner may place the tasks again, but only after
+// the holder, if it is alive, has stopped them, or the leases of its targets have
+// expired.
+func TestLostHolderReturnsTasksWhenTheirRunsHaveEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gone := func(job.EntryID, job.Incarnation) time.Duration { return time.Hour }
-		o, took := deliverOver(t, &flapping{breaks: 1, takes: 100 * time.Millisecond, down: true}, gone)
+		sinceLastMessage := func(job.EntryID, job.Incarnation) time.Duration { return time.Hour }
+		o, took := deliverOver(t, &flappingMesh{failingCalls: 1, callTime: 100 * time.Millisecond, down: true}, sinceLastMessage)
 		qt.Assert(t, o.Reason, qt.Equals, job.HolderLost)
 		qt.Assert(t, o.Over, qt.IsTrue)
-		qt.Assert(t, took > lostAfter, qt.IsTrue)
-		qt.Assert(t, took < 2*lostAfter+maxRetryPause, qt.IsTrue, qt.Commentf("%v", took))
+		qt.Assert(t, took > holderLostAfter, qt.IsTrue)
+		qt.Assert(t, took < 2*holderLostAfter+maxRetryDelay, qt.IsTrue, qt.Commentf("%v", took))
 	})
 }
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -9,8 +9,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// An owner that dies takes what it knew of its submissions with it. What its holders
-// record of the batches names the owner, so that the cause can still be found.
+// When an owner dies, its own records of its submissions are lost. The events that holders
+// record for its batches name the owner, so that the cause can still be found.
 
 func (s *Server) recordReceived(rec *record) {
 	s.events.Record(timeline.Event{
@@ -18,12 +18,12 @@
 	})
 }
 
-// recordReported says how many tasks of a batch have a result, and why the first
-// other one has none.
+// recordReported records how many tasks of a batch have a result, and why the first
+// task without a result has none.
 func (s *Server) recordReported(rec *record, outcomes []job.TaskOutcome) {
 	ev := timeline.Event{
 		Kind: timeline.BatchReported, Submission: rec.submission, Peer: rec.owner.Entry,
-		Count: rec.tasks, Took: time.Since(rec.takenAt),
+		Count: rec.tasks, Took: time.Since(rec.receivedAt),
 	}
 	done, detail := 0, ""
 	for i := range outcomes {
@@ -35,18 +35,18 @@
 		}
 	}
 	switch {
-	case done == len(outcomes) && rec.within > 0 && ev.Took > rec.within:
+	case done == len(outcomes) && rec.objectiveLeft > 0 && ev.Took > rec.objectiveLeft:
 		ev.Reason = timeline.Late
-		ev.Cause = fmt.Sprintf("beyond the %s that its objective left it", rec.within.Round(time.Millisecond))
+		ev.Cause = fmt.Sprintf("beyond the %s that its objective left it", rec.objectiveLeft.Round(time.Millisecond))
 	case done < len(outcomes):
 		ev.Cause = strings.TrimSuffix(fmt.Sprintf("%d of %d tasks have a result: %s", done, len(outcomes), detail), ": ")
 	}
 	s.events.Record(ev)
 }
 
-// within returns what the latency objective leaves a batch at its holder; zero where
-// there is none.
-func within(b *job.Batch) time.Duration {
+// objectiveLeft returns the part of the latency objective that is left for a batch at
+// its holder; zero if there is no objective.
+func objectiveLeft(b *job.Batch) time.Duration {
 	var longest time.Duration
 	for i := range b.Tasks {
 		longest = max(longest, b.Tasks[i].Declared())
--- a/internal/handover/record_test.go
+++ b/internal/handover/record_test.go
@@ -12,30 +12,30 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// notes keeps the events of a holder.
-type notes struct {
+// eventRecorder keeps the events of a holder.
+type eventRecorder struct {
 	mu     sync.Mutex
 	events []timeline.Event
 }
 
-func (n *notes) Record(ev timeline.Event) {
+func (n *eventRecorder) Record(ev timeline.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.events = append(n.events, ev)
 }
 
-func (n *notes) all() []timeline.Event {
+func (n *eventRecorder) all() []timeline.Event {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]timeline.Event(nil), n.events...)
 }
 
-// An owner's VM dies, and with it all that it knew of a failed job. Its caller knows
-// the job's id alone; the holder's records must name the owner and what came of the
-// batch, once each although the offer came twice over a broken link.
+// An owner's VM dies, and its records of a failed job are lost. Its caller knows only the
+// job's id. The holder's events must name the owner and the result of the batch, each once,
+// although the offer arrived twice over a broken link.
 func TestHolderRecordsBatches(t *testing.T) {
-	run(t, func(s *setting) {
-		n := &notes{}
+	run(t, func(s *fixture) {
+		n := &eventRecorder{}
 		s.server.RecordTo(n)
 		got := s.offer(context.Background(), batch("j", 0, 1))
 		time.Sleep(100 * time.Millisecond)
@@ -50,13 +50,13 @@
 	})
 }
 
-// A task of a batch fails. The record says so with the reason, so that it is written
-// as a failure, which a full log leaves out last.
-func TestHolderRecordsWhyABatchIsNotWhole(t *testing.T) {
-	run(t, func(s *setting) {
-		n := &notes{}
+// A task of a batch fails. The event must carry the reason, so that it is logged as a
+// failure, which a full log omits last.
+func TestHolderRecordsWhyABatchFailed(t *testing.T) {
+	run(t, func(s *fixture) {
+		n := &eventRecorder{}
 		s.server.RecordTo(n)
-		s.holder.fails = 1
+		s.holder.failingTask = 1
 		<-s.offer(context.Background(), batch("j", 0, 1))
 		events := n.all()
 		qt.Assert(t, events, qt.HasLen, 2)
@@ -65,12 +65,12 @@
 	})
 }
 
-// A target stood still and all results come, but later than the service's objective
-// allows. The batch is recorded as late: as a mere success its lines would be left
-// out under load, and the late job could not be explained.
+// A target was paused, and all results arrive later than the service's objective allows.
+// The batch must be recorded as late: the lines of a plain success would be omitted under
+// load, and the late job could not be explained.
 func TestHolderRecordsLateBatches(t *testing.T) {
-	run(t, func(s *setting) {
-		n := &notes{}
+	run(t, func(s *fixture) {
+		n := &eventRecorder{}
 		s.server.RecordTo(n)
 		b := batch("j", 0)
 		b.Tasks[0].RunMillis = 40
--- a/internal/handover/remote.go
+++ b/internal/handover/remote.go
@@ -18,80 +18,81 @@
 )
 
 const (
-	// askAgainAfter is when an owner asks again for the outcomes of an offer
-	// whose link stands. A link that stands loses nothing, so this only guards
-	// against an answer that was lost inside a peer; it is longer than nearly
-	// all batches, so that it adds no messages in ordinary running.
-	askAgainAfter = 5 * time.Second
-	// The pause between tries while a link is down: links come back within
-	// tens of milliseconds after a restart.
-	minRetryPause = 20 * time.Millisecond
-	maxRetryPause = 500 * time.Millisecond
-	// giveUpAfter bounds how long an owner keeps a caller waiting for a holder
-	// which it can't reach and nobody calls dead. It is longer than the time in
-	// which membership notices a death.
-	giveUpAfter = 10 * time.Second
-	// fetchTimeout is how long a caller that came back waits for the results of
-	// its lost owner: a few crossings and the sending of a large answer.
+	// resendAfter is the time after which an owner sends an offer again to ask
+	// for its outcomes while the link is up. A link that is up loses nothing, so
+	// this only guards against an answer that was lost inside a peer. It is longer
+	// than nearly all batches run, so that it normally adds no messages.
+	resendAfter = 5 * time.Second
+	// minRetryDelay and maxRetryDelay bound the delay between retries while a link
+	// is down. Links come back within tens of milliseconds after a restart.
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
+	// unreachableTimeout bounds how long an owner lets a caller wait for a holder
+	// that is unreachable but not declared dead. It is longer than membership
+	// needs to detect a death.
+	unreachableTimeout = 10 * time.Second
+	// fetchTimeout bounds how long a returning caller waits for the results of its
+	// lost owner: a few round trips and the transfer of a large answer.
 	fetchTimeout = time.Second
-	// lostAfter is when an owner takes the transient work at a holder that it can't reach
-	// for ended: by then the holder's right to act for it has run out, and with it all that
-	// ran, and where the holder does not run any more the leases of its targets have.
-	lostAfter = ownership.Over + 100*time.Millisecond
-	// maxStale bounds how often an offer is sent again because the proof of this owner's
-	// life was too old: the answer brings a new one.
-	maxStale = 3
-	// maxAcks bounds the acknowledgements that wait for the next offer.
+	// holderLostAfter is the time after which an owner considers the transient work at an
+	// unreachable holder ended. By then the holder's right to act for the owner has expired
+	// and its runs have ended; if the holder itself has stopped, the leases of its targets
+	// have expired.
+	holderLostAfter = ownership.Over + 100*time.Millisecond
+	// maxStaleAnswers bounds how often an offer is sent because the proof that this owner is
+	// alive was too old. Each such answer brings a newer one.
+	maxStaleAnswers = 3
+	// maxAcks bounds the acknowledgements that wait for the next offer to a holder.
 	maxAcks = 4096
 )
 
-// Gone reports whether that life of an entry has ended for certain enough to
-// stop waiting for it.
-type Gone func(entry job.EntryID, life job.Incarnation) bool
+// Gone reports whether an incarnation of an entry has ended with enough certainty
+// to stop waiting for it.
+type Gone func(entry job.EntryID, incarnation job.Incarnation) bool
 
-// RemoteOptions are the settings of a Remote.
+// RemoteOptions configures a Remote.
 type RemoteOptions struct {
 	Mesh peer.Mesh
 	Gone Gone
-	// Silent returns for how long nothing was heard of a life of an entry; nil
-	// takes every entry for silent.
-	Silent func(entry job.EntryID, life job.Incarnation) time.Duration
-	// Proof returns the last reading of a holder's clock, and Learn takes one; nil where
-	// holders ask for none.
-	Proof func(entry job.EntryID, life job.Incarnation) awake.Reading
-	Learn func(entry job.EntryID, life job.Incarnation, at awake.Reading)
-	// Loaded gets what a holder said of its load with its answer, before the outcomes are
+	// Silent returns the time since the last message from an incarnation of an
+	// entry; nil treats every entry as unresponsive.
+	Silent func(entry job.EntryID, incarnation job.Incarnation) time.Duration
+	// Proof returns the last timestamp received of a holder's clock, and Learn stores one;
+	// nil if holders require no proof.
+	Proof func(entry job.EntryID, incarnation job.Incarnation) awake.Reading
+	Learn func(entry job.EntryID, incarnation job.Incarnation, at awake.Reading)
+	// Loaded receives the load that a holder sends with its answer, before the outcomes are
 	// reported; may be nil.
 	Loaded func(from job.EntryID, l job.HolderLoad)
 	Events timeline.Sink
 }
 
-// Remote is the owner's side of the hand-over to holders at other entries.
+// Remote is the owner's side of the handover to holders at other entries.
 type Remote struct {
-	mesh   peer.Mesh
-	gone   Gone
-	silent func(entry job.EntryID, life job.Incarnation) time.Duration
-	proof  func(entry job.EntryID, life job.Incarnation) awake.Reading
-	learn  func(entry job.EntryID, life job.Incarnation, at awake.Reading)
-	loaded func(from job.EntryID, l job.HolderLoad)
-	events timeline.Sink
+	mesh             peer.Mesh
+	isGone           Gone
+	sinceLastMessage func(entry job.EntryID, incarnation job.Incarnation) time.Duration
+	proof            func(entry job.EntryID, incarnation job.Incarnation) awake.Reading
+	learnReading     func(entry job.EntryID, incarnation job.Incarnation, at awake.Reading)
+	onLoad           func(from job.EntryID, l job.HolderLoad)
+	events           timeline.Sink
 
-	mu     sync.Mutex
-	next   uint64
-	flying map[job.ID]map[uint64]*flying
-	// takingBack counts, for each holder, the cancellations that it has to confirm.
-	takingBack map[job.EntryID]int
-	acks       map[job.EntryID][]uint64
+	mu         sync.Mutex
+	lastNumber uint64
+	pending    map[job.ID]map[uint64]*pendingOffer
+	// unconfirmedCancels counts the cancellations that each holder has not confirmed yet.
+	unconfirmedCancels map[job.EntryID]int
+	acks               map[job.EntryID][]uint64
 }
 
-// flying is an offer whose outcomes are not known.
-type flying struct {
+// pendingOffer is an offer whose outcomes are not known yet.
+type pendingOffer struct {
 	to job.EntryID
-	// cancelled is set once its job was taken back.
+	// cancelled is set once the job is cancelled.
 	cancelled bool
 }
 
-// NewRemote returns the owner's side.
+// NewRemote returns the owner's side of the handover.
 func NewRemote(o RemoteOptions) *Remote {
 	if o.Gone == nil {
 		o.Gone = func(job.EntryID, job.Incarnation) bool { return false }
@@ -100,7 +101,7 @@
 		o.Events = timeline.Discard{}
 	}
 	if o.Silent == nil {
-		o.Silent = func(job.EntryID, job.Incarnation) time.Duration { return 2 * lostAfter }
+		o.Silent = func(job.EntryID, job.Incarnation) time.Duration { return 2 * holderLostAfter }
 	}
 	if o.Proof == nil {
 		o.Proof = func(job.EntryID, job.Incarnation) awake.Reading { return 0 }
@@ -112,19 +113,19 @@
 		o.Loaded = func(job.EntryID, job.HolderLoad) {}
 	}
 	return &Remote{
-		loaded: o.Loaded, proof: o.Proof, learn: o.Learn, mesh: o.Mesh, gone: o.Gone, silent: o.Silent, events: o.Events,
-		takingBack: map[job.EntryID]int{}, flying: map[job.ID]map[uint64]*flying{}, acks: map[job.EntryID][]uint64{},
+		onLoad: o.Loaded, proof: o.Proof, learnReading: o.Learn, mesh: o.Mesh, isGone: o.Gone, sinceLastMessage: o.Silent, events: o.Events,
+		unconfirmedCancels: map[job.EntryID]int{}, pending: map[job.ID]map[uint64]*pendingOffer{}, acks: map[job.EntryID][]uint64{},
 	}
 }
 
-// Offer hands a batch to that life of an entry and returns at once. reported
-// is called once, from another goroutine. When ctx ends before, the holder is
-// asked to cancel and the tasks are reported as TaskErred unless they provably
-// never left.
-func (r *Remote) Offer(ctx context.Context, to job.EntryID, life job.Incarnation, b *job.Batch, reported func([]job.TaskOutcome)) {
+// Offer sends a batch to an incarnation of an entry and returns immediately.
+// reported is called once, from another goroutine. If ctx ends before the holder
+// reports, Offer asks the holder to cancel and reports the tasks as TaskErred
+// unless they provably were never sent.
+func (r *Remote) Offer(ctx context.Context, to job.EntryID, incarnation job.Incarnation, b *job.Batch, reported func([]job.TaskOutcome)) {
 	number := r.begin(b.Submission, to)
 	go func() {
-		outcomes := r.deliver(ctx, to, offer{Number: number, To: life, Batch: *b})
+		outcomes := r.deliver(ctx, to, offer{Number: number, To: incarnation, Batch: *b})
 		r.end(b.Submission, number)
 		reported(outcomes)
 	}()
@@ -133,29 +134,29 @@
 func (r *Remote) begin(id job.ID, to job.EntryID) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.next++
-	if r.flying[id] == nil {
-		r.flying[id] = map[uint64]*flying{}
+	r.lastNumber++
+	if r.pending[id] == nil {
+		r.pending[id] = map[uint64]*pendingOffer{}
 	}
-	r.flying[id][r.next] = &flying{to: to}
-	return r.next
+	r.pending[id][r.lastNumber] = &pendingOffer{to: to}
+	return r.lastNumber
 }
 
 func (r *Remote) end(id job.ID, number uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.flying[id], number)
-	if len(r.flying[id]) == 0 {
-		delete(r.flying, id)
+	delete(r.pending[id], number)
+	if len(r.pending[id]) == 0 {
+		delete(r.pending, id)
 	}
 }
 
-// Holders lists the entries that have batches of this owner.
+// Holders returns the entries that have unreported batches of this owner.
 func (r *Remote) Holders() []job.EntryID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	found := map[job.EntryID]bool{}
-	for _, offers := range r.flying {
+	for _, offers := range r.pending {
 		for _, f := range offers {
 			found[f.to] = true
 		}
@@ -163,25 +164,25 @@
 	return slices.Collect(maps.Keys(found))
 }
 
-// Cancel asks an entry to drop what it holds of a submission of this owner.
+// Cancel asks an entry to cancel its batches of a submission of this owner.
 func (r *Remote) Cancel(to job.EntryID, id job.ID) {
 	r.mu.Lock()
 	var numbers []uint64
-	for n, f := range r.flying[id] {
+	for n, f := range r.pending[id] {
 		if f.to == to {
 			f.cancelled = true
 			numbers = append(numbers, n)
 		}
 	}
 	r.mu.Unlock()
-	// One that is lost with its link is sent again by deliver, until it is confirmed.
+	// If the message is lost with the link, deliver sends it again until it is confirmed.
 	_ = r.mesh.Send(to, peer.BatchCancel, cancel{Submission: id, Offers: numbers})
 }
 
 func (r *Remote) isCancelled(id job.ID, number uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := r.flying[id][number]
+	f := r.pending[id][number]
 	return f != nil && f.cancelled
 }
 
@@ -201,140 +202,141 @@
 	}
 }
 
-// deliver sends an offer, again after each broken link, until its outcomes are
-// known or can't be learned any more.
+// deliver sends an offer, again after each link failure, until its outcomes are
+// known or can no longer be obtained.
 func (r *Remote) deliver(ctx context.Context, to job.EntryID, o offer) []job.TaskOutcome {
 	b := o.Batch
 	start := time.Now()
 	var unreachable time.Duration
-	var broken time.Time // when the link was last known to have stood
-	sent := false        // whether the holder may have got the offer
-	stale := 0           // how often the holder had no fresh proof of this owner's life
-	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
-		o.Batch = aged(b, time.Since(start))
-		// The proof is read before the right is asked for: a pause between the two makes
-		// the proof old, one before them ends the right.
+	var lastReachable time.Time // when the link was last known to be up
+	sent := false               // whether the holder may have received the offer
+	staleAnswers := 0           // how often the proof was too old for the holder
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
+		o.Batch = withElapsed(b, time.Since(start))
+		// Read the proof before checking the right: if this entry is paused between the
+		// two, the proof is too old; if it is paused before both, the right has expired.
 		o.Proof = r.proof(to, o.To)
 		if b.Transient && r.isCancelled(b.Submission, o.Number) {
-			return r.takeBack(ctx, to, &o, sent)
+			return r.confirmCancel(ctx, to, &o, sent)
 		}
 		if !job.Holds(b.Right) {
-			return givenUp(&b, sent)
+			return pausedOwnerOutcomes(&b, sent)
 		}
 		o.Acked = r.takeAcks(to)
-		answer, err := r.ask(ctx, to, o)
+		answer, err := r.sendOffer(ctx, to, o)
 		if err == nil && answer.Reading != 0 {
-			r.learn(to, o.To, answer.Reading)
+			r.learnReading(to, o.To, answer.Reading)
 		}
 		if err == nil && answer.Load != nil {
-			r.loaded(to, *answer.Load)
+			r.onLoad(to, *answer.Load)
 		}
-		if err == nil && answer.Verdict == verdictStale {
+		if err == nil && answer.Verdict == resultStaleProof {
 			r.ack(to, o.Acked...)
-			if stale++; stale < maxStale {
+			if staleAnswers++; staleAnswers < maxStaleAnswers {
 				continue
 			}
-			return whole(&b, job.TaskNotStarted, job.HolderLost, "the holder has no fresh word of this owner")
+			return uniformOutcomes(&b, job.TaskNotStarted, job.HolderLost, "the holder has no recent proof that this owner is alive")
 		}
-		if err == nil && b.Transient && answer.Verdict == verdictNotMine {
-			// Its earlier life ended before this answer, and the leases that it
-			// gave run out within the same bound.
-			r.wait(ctx, lostAfter)
-			return r.lose(to, &b, start, "it runs a later life")
+		if err == nil && b.Transient && answer.Verdict == resultWrongIncarnation {
+			// The holder's earlier incarnation ended before this answer, and the
+			// leases that it granted expire within the same bound.
+			r.wait(ctx, holderLostAfter)
+			return r.reportLost(to, &b, start, "it runs a later incarnation")
 		}
-		if err == nil && answer.Verdict != verdictSuperseded {
+		if err == nil && answer.Verdict != resultSuperseded {
 			r.ack(to, o.Number)
-			return settle(&b, answer)
+			return outcomesFrom(&b, answer)
 		}
 		if errors.Is(err, peer.ErrRejected) {
-			return whole(&b, job.TaskErred, job.Internal, err.Error())
+			return uniformOutcomes(&b, job.TaskErred, job.Internal, err.Error())
 		}
 		r.ack(to, o.Acked...)
 		if errors.Is(err, peer.ErrNotSent) && !sent {
-			return whole(&b, job.TaskNotStarted, job.HolderLost, err.Error())
+			return uniformOutcomes(&b, job.TaskNotStarted, job.HolderLost, err.Error())
 		}
 		sent = true
 		if ctx.Err() != nil {
 			r.Cancel(to, b.Submission)
-			return whole(&b, job.TaskErred, job.HolderLost, "given up before the holder reported")
+			return uniformOutcomes(&b, job.TaskErred, job.HolderLost, "cancelled before the holder reported")
 		}
 		if errors.Is(err, peer.ErrNotSent) {
-			unreachable += pause
+			unreachable += delay
 		} else {
-			unreachable, pause = 0, minRetryPause
+			unreachable, delay = 0, minRetryDelay
 		}
-		if broken.IsZero() || !errors.Is(err, peer.ErrNotSent) {
-			broken = time.Now() // until now the holder may have heard this owner
+		if lastReachable.IsZero() || !errors.Is(err, peer.ErrNotSent) {
+			lastReachable = time.Now() // the holder may have received messages until now
 		}
-		if b.Transient && time.Since(broken) > lostAfter && r.silent(to, o.To) > lostAfter {
-			return r.lose(to, &b, start, fmt.Sprintf("no link for %s, unheard for %s", time.Since(broken).Round(time.Millisecond), r.silent(to, o.To).Round(time.Millisecond)))
+		if b.Transient && time.Since(lastReachable) > holderLostAfter && r.sinceLastMessage(to, o.To) > holderLostAfter {
+			return r.reportLost(to, &b, start, fmt.Sprintf("no link for %s, unheard for %s", time.Since(lastReachable).Round(time.Millisecond), r.sinceLastMessage(to, o.To).Round(time.Millisecond)))
 		}
 		if b.Transient {
-			r.wait(ctx, pause)
+			r.wait(ctx, delay)
 			continue
 		}
-		if r.gone(to, o.To) || unreachable > giveUpAfter {
-			return whole(&b, job.TaskErred, job.HolderLost, "the holder was lost after it got the tasks")
+		if r.isGone(to, o.To) || unreachable > unreachableTimeout {
+			return uniformOutcomes(&b, job.TaskErred, job.HolderLost, "the holder was lost after it received the tasks")
 		}
-		r.wait(ctx, pause)
+		r.wait(ctx, delay)
 	}
 }
 
-// takeBack tells a holder of a cancellation that may have been lost with its link, until
-// the holder has confirmed it or can't act for this owner any more. The caller of a
-// transient job sends it elsewhere soon after it has hung up: its work must end by then,
-// and an offer that may not have arrived is not sent again.
-func (r *Remote) takeBack(ctx context.Context, to job.EntryID, o *offer, sent bool) []job.TaskOutcome {
+// confirmCancel repeats a cancellation, which may have been lost with its link, until the
+// holder has confirmed it or can no longer act for this owner. The caller of a transient job
+// sends the job elsewhere soon after it has hung up, so its work must end by then, and an
+// offer that may not have arrived is not sent again.
+func (r *Remote) confirmCancel(ctx context.Context, to job.EntryID, o *offer, sent bool) []job.TaskOutcome {
 	if !sent {
-		return whole(&o.Batch, job.TaskNotStarted, job.CancelledByCall, "taken back before it was sent")
+		return uniformOutcomes(&o.Batch, job.TaskNotStarted, job.CancelledByCall, "cancelled before it was sent")
 	}
-	r.countTakingBack(to, 1)
-	defer r.countTakingBack(to, -1)
+	r.addUnconfirmed(to, 1)
+	defer r.addUnconfirmed(to, -1)
 	message := cancel{Submission: o.Batch.Submission, Offers: []uint64{o.Number}}
-	begun := time.Now()
-	for ; time.Since(begun) <= lostAfter || r.silent(to, o.To) <= lostAfter; r.wait(ctx, minRetryPause) {
+	start := time.Now()
+	for ; time.Since(start) <= holderLostAfter || r.sinceLastMessage(to, o.To) <= holderLostAfter; r.wait(ctx, minRetryDelay) {
 		call, done := context.WithTimeout(ctx, fetchTimeout)
 		err := r.mesh.Call(call, to, peer.BatchCancel, message, nil)
 		done()
 		if err == nil || errors.Is(err, peer.ErrRejected) || ctx.Err() != nil {
-			return whole(&o.Batch, job.TaskErred, job.CancelledByCall, "taken back")
+			return uniformOutcomes(&o.Batch, job.TaskErred, job.CancelledByCall, "taken back")
 		}
 	}
-	r.recordLost(to, &o.Batch, begun, fmt.Sprintf("taken back and never confirmed, unheard for %s", r.silent(to, o.To).Round(time.Millisecond)))
-	return whole(&o.Batch, job.TaskErred, job.CancelledByCall, "taken back")
+	r.recordLost(to, &o.Batch, start, fmt.Sprintf("taken back and never confirmed, unheard for %s", r.sinceLastMessage(to, o.To).Round(time.Millisecond)))
+	return uniformOutcomes(&o.Batch, job.TaskErred, job.CancelledByCall, "taken back")
 }
 
-func (r *Remote) countTakingBack(to job.EntryID, by int) {
+func (r *Remote) addUnconfirmed(to job.EntryID, by int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.takingBack[to] += by; r.takingBack[to] == 0 {
-		delete(r.takingBack, to)
+	if r.unconfirmedCancels[to] += by; r.unconfirmedCancels[to] == 0 {
+		delete(r.unconfirmedCancels, to)
 	}
 }
 
-// TakingBack reports whether a holder has not confirmed that a job was taken back, because
-// its link broke. Until then this owner must not prove to it that it goes on, or the job
-// would go on too.
+// TakingBack reports whether a holder has yet to confirm a cancellation because its link
+// broke. Until it does, this owner must not send the holder a proof that it is alive, or the
+// cancelled job would continue.
 func (r *Remote) TakingBack(to job.EntryID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.takingBack[to] > 0
+	return r.unconfirmedCancels[to] > 0
 }
 
-// givenUp is the outcome of a batch whose owner stood still: its caller may have turned
-// elsewhere.
-func givenUp(b *job.Batch, sent bool) []job.TaskOutcome {
-	const detail = "this entry stood still, and its caller may have sent the job elsewhere"
+// pausedOwnerOutcomes returns the outcomes of a batch whose owner was paused: its caller may
+// have sent the job elsewhere.
+func pausedOwnerOutcomes(b *job.Batch, sent bool) []job.TaskOutcome {
+	const detail = "this entry was paused, and its caller may have sent the job elsewhere"
 	if sent {
-		return whole(b, job.TaskErred, job.OwnerLost, detail)
+		return uniformOutcomes(b, job.TaskErred, job.OwnerLost, detail)
 	}
-	return whole(b, job.TaskNotStarted, job.OwnerLost, detail)
+	return uniformOutcomes(b, job.TaskNotStarted, job.OwnerLost, detail)
 }
 
-// lose gives a batch up whose holder is lost and whose runs have ended.
-func (r *Remote) lose(to job.EntryID, b *job.Batch, since time.Time, cause string) []job.TaskOutcome {
+// reportLost records that the holder of a batch is lost and that the runs have ended, and
+// returns the outcomes of the batch.
+func (r *Remote) reportLost(to job.EntryID, b *job.Batch, since time.Time, cause string) []job.TaskOutcome {
 	r.recordLost(to, b, since, cause)
-	return lost(b)
+	return lostOutcomes(b)
 }
 
 func (r *Remote) recordLost(to job.EntryID, b *job.Batch, since time.Time, cause string) {
@@ -344,17 +346,17 @@
 	})
 }
 
-// lost is the outcome of tasks whose holder is lost and whose runs have ended.
-func lost(b *job.Batch) []job.TaskOutcome {
-	outcomes := whole(b, job.TaskErred, job.HolderLost, "the holder was lost and its runs have ended")
+// lostOutcomes returns the outcomes of a batch whose holder is lost and whose runs have ended.
+func lostOutcomes(b *job.Batch) []job.TaskOutcome {
+	outcomes := uniformOutcomes(b, job.TaskErred, job.HolderLost, "the holder was lost and its runs have ended")
 	for i := range outcomes {
 		outcomes[i].Over = true
 	}
 	return outcomes
 }
 
-func (r *Remote) ask(ctx context.Context, to job.EntryID, o offer) (report, error) {
-	ctx, cancel := context.WithTimeout(ctx, askAgainAfter)
+func (r *Remote) sendOffer(ctx context.Context, to job.EntryID, o offer) (report, error) {
+	ctx, cancel := context.WithTimeout(ctx, resendAfter)
 	defer cancel()
 	o.pack()
 	var answer report
@@ -362,8 +364,8 @@
 	return answer, err
 }
 
-// Fetch collects the results of a lost owner's submission that holders still
-// have. Entries that don't answer add nothing.
+// Fetch collects the results that holders still have of a lost owner's
+// submission. It ignores entries that don't answer.
 func (r *Remote) Fetch(ctx context.Context, from []job.EntryID, owner job.Owner, id job.ID) []job.TaskOutcome {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -382,8 +384,8 @@
 	return held
 }
 
-func (r *Remote) wait(ctx context.Context, pause time.Duration) {
-	timer := time.NewTimer(pause)
+func (r *Remote) wait(ctx context.Context, delay time.Duration) {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -391,23 +393,23 @@
 	}
 }
 
-// aged returns the batch as it stands after some time at this owner.
-func aged(b job.Batch, by time.Duration) job.Batch {
+// withElapsed returns the batch after it has spent more time at this owner.
+func withElapsed(b job.Batch, by time.Duration) job.Batch {
 	b.Waited += by
 	if b.Remaining > 0 {
-		// Zero would mean no deadline; an expired one must stay one.
+		// Zero would mean no deadline, so an expired deadline must stay positive.
 		b.Remaining = max(b.Remaining-by, time.Nanosecond)
 	}
 	return b
 }
 
-// settle turns the holder's answer into outcomes of all tasks that it covers.
-func settle(b *job.Batch, answer report) []job.TaskOutcome {
+// outcomesFrom converts the holder's answer into the outcomes of all tasks that it covers.
+func outcomesFrom(b *job.Batch, answer report) []job.TaskOutcome {
 	switch answer.Verdict {
-	case verdictReported:
+	case resultReported:
 		return answer.Outcomes
-	case verdictNotMine:
-		return whole(b, job.TaskErred, job.HolderLost, "the holder was restarted; its earlier life may have started the tasks")
+	case resultWrongIncarnation:
+		return uniformOutcomes(b, job.TaskErred, job.HolderLost, "the holder was restarted; its earlier incarnation may have started the tasks")
 	}
-	return whole(b, job.TaskErred, job.HolderLost, "the holder has no record of the tasks any more")
+	return uniformOutcomes(b, job.TaskErred, job.HolderLost, "the holder no longer has a record of the tasks")
 }
--- a/internal/handover/serve.go
+++ b/internal/handover/serve.go
@@ -17,56 +17,59 @@
 )
 
 const (
-	// keepReported is how long the record of a reported offer stays. An owner
-	// that lost the answer asks again within seconds of the link's return, and
-	// gives the holder up after giveUpAfter without it.
-	keepReported = 3 * giveUpAfter
-	// maxRecordBytes bounds the outcomes kept for owners that have not
-	// acknowledged them: about one of the largest jobs for each of a few owners.
+	// keepReported is how long the record of a reported offer is kept. An owner
+	// that lost the answer asks again within seconds after the link is back, and
+	// abandons the holder after unreachableTimeout without a link.
+	keepReported = 3 * unreachableTimeout
+	// maxRecordBytes bounds the memory of unacknowledged outcomes: enough for
+	// about one of the largest jobs for each of a few owners.
 	maxRecordBytes = 64 << 20
 )
 
-// key names one offer.
+// key identifies one offer.
 type key struct {
-	entry  job.EntryID
-	life   job.Incarnation
-	number uint64
+	entry       job.EntryID
+	incarnation job.Incarnation
+	number      uint64
 }
 
-// record is one offer that this holder has taken.
+// record is the state of one offer that this holder has accepted.
 type record struct {
 	key        key
 	owner      job.Owner
 	submission job.ID
 	pool       string
 	tasks      int
-	// done is closed when outcomes are known.
+	// done is closed when the outcomes are known.
 	done     chan struct{}
 	reported bool
 	outcomes []job.TaskOutcome
-	// reportedAt orders the finished records, at is when the owner last asked.
-	reportedAt time.Time
-	at         time.Time
-	bytes      int
-	// asked is replaced and closed when the owner asks again.
-	asked chan struct{}
-	// cancelled is set when the owner took the batch back.
+	// reportedAt orders the finished records. lastAskedAt is when the owner last
+	// asked for the outcomes.
+	reportedAt  time.Time
+	lastAskedAt time.Time
+	bytes       int
+	// superseded is closed and replaced when the owner asks again.
+	superseded chan struct{}
+	// cancelled is set when the owner cancels the batch.
 	cancelled bool
-	// takenAt is when the batch came, within how long it should take by its latency
-	// objective from then on; zero is none.
-	takenAt time.Time
-	within  time.Duration
+	// receivedAt is when the batch arrived. objectiveLeft is the time that its latency
+	// objective leaves it from then on; zero if it has none.
+	receivedAt    time.Time
+	objectiveLeft time.Duration
 }
 
-// Server is the holder's side of the hand-over.
+// Server is the holder's side of the handover.
 type Server struct {
 	holder Holder
 	self   job.Owner
-	// heard is told of each owner that hands over a batch.
-	heard func(job.Owner)
-	// load returns what the holder's targets of a pool bear now; nil says nothing of it.
+	// onOffer is called with the owner of each batch that arrives.
+	onOffer func(job.Owner)
+	// load returns the current load of the holder's targets in a pool; if nil, answers
+	// carry no load.
 	load func(pool string) job.HolderLoad
-	// rights gives the right to act for an owner of transient work; nil asks for none.
+	// rights grants the right to act for an owner of transient work; if nil, no right is
+	// required.
 	rights Rights
 	events timeline.Sink
 
@@ -75,25 +78,25 @@
 	// finished lists reported records, oldest first.
 	finished []*record
 	bytes    int
-	// forgotten is the highest number of each owner's life whose record was
-	// dropped: an unknown offer up to it may be one of those.
+	// forgotten is, for each incarnation of an owner, the highest number whose
+	// record was deleted. An unknown offer up to this number may have run.
 	forgotten map[job.Owner]uint64
-	// cancelled holds offers whose cancellation came first, oldest first in
-	// cancels.
+	// cancelled contains offers whose cancellation arrived before the offer;
+	// cancels lists them, oldest first.
 	cancelled map[key]bool
 	cancels   []cancelledAt
 }
 
-// cancelledAt is a cancellation that waits for its offer.
+// cancelledAt is a cancellation that arrived before its offer.
 type cancelledAt struct {
 	key key
 	at  time.Time
 }
 
-// Serve lets other entries hand batches to holder.
+// Serve handles the batches that other entries send to holder.
 func Serve(mesh peer.Mesh, holder Holder) *Server {
 	s := &Server{
-		holder: holder, self: mesh.Self(), heard: func(job.Owner) {}, events: timeline.Discard{},
+		holder: holder, self: mesh.Self(), onOffer: func(job.Owner) {}, events: timeline.Discard{},
 		records: map[key]*record{}, forgotten: map[job.Owner]uint64{}, cancelled: map[key]bool{},
 	}
 	mesh.Handle(peer.BatchOffer, s.handleOffer)
@@ -102,30 +105,30 @@
 	return s
 }
 
-// Rights gives a holder the right to act for owners.
+// Rights grants a holder the right to act for owners.
 type Rights interface {
-	// Right returns the right to act for an owner by the proof that came with its offer;
-	// nil where that is too old. remaining is the time left until the deadline of the
-	// work; zero for none.
+	// Right returns the right to act for an owner, based on the proof in its offer; nil if
+	// the proof is too old. remaining is the time left until the deadline of the work; zero
+	// for none.
 	Right(owner job.Owner, proof awake.Reading, remaining time.Duration) job.Right
-	// Reading is this entry's clock, for owners to send back as proof.
+	// Reading returns a timestamp of this entry's clock, which owners send back as proof.
 	Reading() awake.Reading
 }
 
-// NeedRights has the holder act for owners of transient work only by a right. It is called
-// before the links start.
+// NeedRights makes the holder require a right to act for owners of transient work. It must
+// be called before the links start.
 func (s *Server) NeedRights(r Rights) { s.rights = r }
 
-// TellLoads has answers say what the holder's targets bear. It is called before the links
-// start.
+// TellLoads makes answers carry the load of the holder's targets. It must be called before
+// the links start.
 func (s *Server) TellLoads(load func(pool string) job.HolderLoad) { s.load = load }
 
-// OnOffer sets a function that is told of each owner that hands over a batch, before
-// the holder gets it. It is called before the links start.
-func (s *Server) OnOffer(heard func(job.Owner)) { s.heard = heard }
+// OnOffer sets a function that is called with the owner of each arriving batch, before
+// the holder receives the batch. OnOffer must be called before the links start.
+func (s *Server) OnOffer(onOffer func(job.Owner)) { s.onOffer = onOffer }
 
-// RecordTo sets where batches received and reported are recorded. It is called
-// before the links start.
+// RecordTo sets the sink for events about received and reported batches. It must be
+// called before the links start.
 func (s *Server) RecordTo(events timeline.Sink) { s.events = events }
 
 func (s *Server) handleOffer(ctx context.Context, from job.Owner, body cbor.RawMessage) (any, error) {
@@ -135,9 +138,9 @@
 	}
 	o.unpack()
 	if o.To != s.self.Incarnation {
-		return report{Verdict: verdictNotMine}, nil
+		return report{Verdict: resultWrongIncarnation}, nil
 	}
-	s.heard(from)
+	s.onOffer(from)
 	o.Batch.Owner = from
 	rec, early, isNew := s.admit(time.Now(), from, &o)
 	if rec == nil {
@@ -147,8 +150,9 @@
 		s.recordReceived(rec)
 		s.holder.Offer(&o.Batch, func(outcomes []job.TaskOutcome) { s.report(rec, outcomes) })
 		if s.wasCancelled(rec) {
-			// The cancellation may have come before the holder had the batch
-			// and then met nothing; the tasks would run for nobody.
+			// The cancellation may have reached the holder before the batch did
+			// and had no effect; the tasks would then run without an owner that
+			// waits for them.
 			s.holder.Cancel(from, o.Batch.Submission)
 		}
 	}
@@ -161,8 +165,8 @@
 	return rec.cancelled
 }
 
-// admit finds or makes the record of an offer. Without a record the answer is
-// early.
+// admit finds or creates the record of an offer. If it returns no record, early
+// is the answer to the offer.
 func (s *Server) admit(now time.Time, from job.Owner, o *offer) (rec *record, early report, isNew bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,25 +179,25 @@
 		return rec, report{}, false
 	}
 	if o.Number <= s.forgotten[from] {
-		return nil, report{Verdict: verdictForgotten}, false
+		return nil, report{Verdict: resultForgotten}, false
 	}
 	if s.cancelled[k] {
-		return nil, report{Verdict: verdictReported, Outcomes: whole(&o.Batch, job.TaskNotStarted, job.CancelledByCall, "")}, false
+		return nil, report{Verdict: resultReported, Outcomes: uniformOutcomes(&o.Batch, job.TaskNotStarted, job.CancelledByCall, "")}, false
 	}
-	if !s.allowed(from, o) {
-		return nil, report{Verdict: verdictStale, Reading: s.rights.Reading()}, false
+	if !s.acquireRight(from, o) {
+		return nil, report{Verdict: resultStaleProof, Reading: s.rights.Reading()}, false
 	}
 	rec = &record{
 		key: k, owner: from, submission: o.Batch.Submission, tasks: len(o.Batch.Tasks), pool: o.Batch.Pool,
-		done: make(chan struct{}), asked: make(chan struct{}), takenAt: now, within: within(&o.Batch),
+		done: make(chan struct{}), superseded: make(chan struct{}), receivedAt: now, objectiveLeft: objectiveLeft(&o.Batch),
 	}
 	s.records[k] = rec
 	return rec, report{}, true
 }
 
-// reading is this entry's clock, which the owner sends back with its next offer: under
-// load proofs are so as fresh as reports are frequent, and a short outage of a link ends
-// no right.
+// reading returns a timestamp of this entry's clock, which the owner sends back with its
+// next offer. Under load, frequent reports thus keep the proofs recent, and a short link
+// outage does not end a right.
 func (s *Server) reading() awake.Reading {
 	if s.rights == nil {
 		return 0
@@ -201,9 +205,10 @@
 	return s.rights.Reading()
 }
 
-// allowed takes the right to act for the owner of a new offer. An owner that stood still,
-// or whose offer was under way for long, may have given it up.
-func (s *Server) allowed(from job.Owner, o *offer) bool {
+// acquireRight acquires the right to act for the owner of a new offer and reports whether
+// the holder may run the offer. An owner that was paused, or whose offer was in transit for
+// long, may have abandoned the offer.
+func (s *Server) acquireRight(from job.Owner, o *offer) bool {
 	if s.rights == nil || !o.Batch.Transient {
 		return true
 	}
@@ -211,26 +216,26 @@
 	return o.Batch.Right != nil
 }
 
-// await answers the latest asking for a record; an older one is sent away, so
-// that outcomes cross the link once.
+// await waits for the outcomes of a record and returns the answer. It ends any
+// earlier call for the same record, so that the outcomes are sent once.
 func (s *Server) await(ctx context.Context, rec *record) (any, error) {
 	s.mu.Lock()
-	close(rec.asked)
-	rec.asked = make(chan struct{})
-	rec.at = time.Now()
-	again := rec.asked
+	close(rec.superseded)
+	rec.superseded = make(chan struct{})
+	rec.lastAskedAt = time.Now()
+	newerCall := rec.superseded
 	s.mu.Unlock()
 	select {
 	case <-rec.done:
 		answer := s.answer(rec)
 		if s.load != nil {
 			load := s.load(rec.pool)
-			load.Entry, load.Zone = "", "" // the link says both
+			load.Entry, load.Zone = "", "" // the link identifies both
 			answer.Load = &load
 		}
 		return answer, nil
-	case <-again:
-		return report{Verdict: verdictSuperseded}, nil
+	case <-newerCall:
+		return report{Verdict: resultSuperseded}, nil
 	case <-ctx.Done():
 		return nil, errors.Annotate(ctx.Err(), "the link to the owner broke")
 	}
@@ -240,15 +245,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if rec.outcomes == nil && rec.tasks > 0 {
-		return report{Verdict: verdictForgotten}
+		return report{Verdict: resultForgotten}
 	}
-	return report{Verdict: verdictReported, Outcomes: rec.outcomes, Reading: s.reading()}
+	return report{Verdict: resultReported, Outcomes: rec.outcomes, Reading: s.reading()}
 }
 
-// report takes the holder's outcomes. They are recorded before anybody can ask for
-// them: a story would otherwise tell the owner's answer before its cause.
+// report accepts the holder's outcomes. It records the event before the outcomes become
+// available: otherwise the timeline could show the owner's answer before its cause.
 func (s *Server) report(rec *record, outcomes []job.TaskOutcome) {
-	if !s.reportsFirst(rec) {
+	if !s.markReported(rec) {
 		return
 	}
 	s.recordReported(rec, outcomes)
@@ -263,8 +268,8 @@
 	close(rec.done)
 }
 
-// reportsFirst reports whether nothing was reported of the record before.
-func (s *Server) reportsFirst(rec *record) bool {
+// markReported marks a record as reported and returns whether it was not reported before.
+func (s *Server) markReported(rec *record) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := !rec.reported
@@ -272,9 +277,9 @@
 	return first
 }
 
-// acknowledge drops the outcomes of a record that its owner has. The number
-// stays known: a copy of the offer that was sent over an earlier link could
-// still be on its way through this process.
+// acknowledge deletes the outcomes of a record once its owner has received them.
+// The record itself stays: a copy of the offer that was sent over an earlier link
+// could still be queued in this process.
 func (s *Server) acknowledge(k key) {
 	rec := s.records[k]
 	if rec == nil || !rec.reported {
@@ -284,8 +289,8 @@
 	rec.bytes, rec.outcomes = 0, nil
 }
 
-// expire forgets reported records that are old, and the oldest while their
-// outcomes take too much memory.
+// expire deletes old reported records, and the oldest ones while the outcomes
+// use too much memory.
 func (s *Server) expire(now time.Time) {
 	for len(s.finished) > 0 {
 		first := s.finished[0]
@@ -295,8 +300,8 @@
 		}
 		s.finished[0] = nil
 		s.finished = s.finished[1:]
-		if now.Sub(first.at) <= keepReported && s.bytes <= maxRecordBytes {
-			first.reportedAt = first.at // its owner has asked again since
+		if now.Sub(first.lastAskedAt) <= keepReported && s.bytes <= maxRecordBytes {
+			first.reportedAt = first.lastAskedAt // the owner has asked again since
 			s.finished = append(s.finished, first)
 			continue
 		}
@@ -337,14 +342,14 @@
 	return nil, nil
 }
 
-// OwnerGone drops the unstarted tasks of that and earlier lives of an entry:
-// nobody can receive their results any more, so they would only take slots
-// from others.
-func (s *Server) OwnerGone(entry job.EntryID, life job.Incarnation) {
+// OwnerGone cancels the unreported batches of the given and earlier incarnations
+// of an entry: nobody can receive their results any more, so they would only take
+// slots from others.
+func (s *Server) OwnerGone(entry job.EntryID, incarnation job.Incarnation) {
 	s.mu.Lock()
 	var drop []*record
 	for _, rec := range s.records {
-		if rec.key.entry == entry && rec.key.life <= life && !rec.reported {
+		if rec.key.entry == entry && rec.key.incarnation <= incarnation && !rec.reported {
 			drop = append(drop, rec)
 		}
 	}
@@ -355,8 +360,8 @@
 	}
 }
 
-// handleFetch answers an entry that takes a lost owner's submission over with
-// the results that are still held here.
+// handleFetch sends the results that this holder still has to an entry that takes
+// over a lost owner's submission.
 func (s *Server) handleFetch(_ context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
 	var f fetch
 	if err := cbor.Unmarshal(body, &f); err != nil {
@@ -365,7 +370,7 @@
 	return fetched{Outcomes: s.Held(f.Owner, f.Submission)}, nil
 }
 
-// Held returns the results that this holder has of an owner's submission.
+// Held returns the results that this holder still has of an owner's submission.
 func (s *Server) Held(owner job.Owner, id job.ID) []job.TaskOutcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
