--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -9,49 +9,49 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Timings are the detector's figures for entries that are watched at one pace.
+// Timings holds the detector's intervals and timeouts for entries that are watched at one
+// pace.
 type Timings struct {
-	// Period is the time between two heartbeats.
+	// Period is the interval between two heartbeats.
 	Period time.Duration
-	// SuspectAfter and DeadAfter count from the last heartbeat that was heard.
+	// SuspectAfter and DeadAfter count from the last heartbeat received.
 	SuspectAfter time.Duration
 	DeadAfter    time.Duration
-	// VouchWithin is how old the last heartbeat may be for this entry to tell
-	// others that it hears the sender.
+	// VouchWithin is the maximum age of the last heartbeat for this entry to vouch for the
+	// sender to others.
 	VouchWithin time.Duration
 }
 
-// InZone suspects after four lost heartbeats: one or two are lost to a pause
-// of a busy VM several times a day. Death is declared late enough that the
-// pauses of a small VM (a second) don't move targets to and fro, and early
-// enough that targets are served again within a few seconds.
+// InZone suspects an entry after four lost heartbeats, because a busy VM that pauses loses
+// one or two several times a day. DeadAfter is long enough that the pauses of a small VM (a
+// second) don't move targets back and forth, and short enough that targets are served again
+// within a few seconds.
 var InZone = Timings{
 	Period: 250 * time.Millisecond, SuspectAfter: time.Second,
 	DeadAfter: 2500 * time.Millisecond, VouchWithin: 600 * time.Millisecond,
 }
 
-// AcrossZones is sparse, since nothing that is held moves across zones: the
-// view only steers spilled work and resubmissions. In large fleets it is the pace of
-// everybody who is watched loosely.
+// AcrossZones is sparse because nothing that is held moves across zones: the view only
+// steers spilled work and resubmissions. In a large fleet it applies to every entry that is
+// watched loosely.
 var AcrossZones = Timings{
 	Period: time.Second, SuspectAfter: 3 * time.Second,
 	DeadAfter: 6 * time.Second, VouchWithin: 1500 * time.Millisecond,
 }
 
 const (
-	// vouchHold is how long another entry's word keeps a silent one from being
-	// declared dead: some looks at the silent ones, and a delay.
-	vouchHold = 1250 * time.Millisecond
-	// refutedHold is how long an entry that proved itself alive after this one had
-	// called it dead is left alone: only the way between the two is broken.
-	refutedHold = 30 * time.Second
-	// refusedAfter is how long an entry must be silent before a refused
-	// connection proves that its process has ended. It covers a restart of the
-	// link alone.
+	// vouchValidity is how long the answer of another entry keeps an unresponsive one from being
+	// declared dead. It covers several ticks of the detector and the delay of the query.
+	vouchValidity = 1250 * time.Millisecond
+	// refutedGrace is how long this entry doesn't declare an entry dead again after that entry
+	// has refuted its death: only the link between the two is broken.
+	refutedGrace = 30 * time.Second
+	// refusedAfter is how long an entry must be unresponsive before a refused connection proves
+	// that its process has ended. It covers a restart of the link alone.
 	refusedAfter = 500 * time.Millisecond
-	// askAfter is how long an entry must be silent, and its machine refuse connections,
-	// before others are asked whether they hear it: a heartbeat has failed to come.
-	askAfter = 350 * time.Millisecond
+	// queryAfter is how long an entry whose machine refuses connections must be unresponsive
+	// before others are asked whether they hear it: at least one heartbeat has failed to arrive.
+	queryAfter = 350 * time.Millisecond
 )
 
 // Pace is how closely an entry is watched.
@@ -59,74 +59,76 @@
 
 // The paces.
 const (
-	// Unwatched entries send no heartbeats; their state is what others tell.
+	// Unwatched entries send this entry no heartbeats; other entries report their state.
 	Unwatched Pace = iota
 	// Loose is the pace of AcrossZones.
 	Loose
-	// Close is the pace of the distance: InZone, or what Options.Across says.
+	// Close uses InZone in the same zone and Options.Across for other zones.
 	Close
 )
 
-// Change is one member whose state or life changed, for logs and events.
+// Change is a change of a member's state or incarnation, for logs and events.
 type Change struct {
 	Before, After Member
 	Cause         string
 }
 
-// peerState is what the detector knows of one other entry.
+// peerState is the detector's state for one other entry.
 type peerState struct {
 	Member
-	// revision numbers what the entry says of itself in this life; see Update.
+	// revision numbers the state changes that the entry announces in this incarnation; see
+	// Update.
 	revision uint32
 	timings  Timings
 	pace     Pace
-	// watched is since when it is watched at its pace, since from when on its silence
-	// counts at the earliest: from then, or from when this entry stood still.
-	watched time.Time
-	since   time.Time
-	heard   time.Time
-	vouched time.Time
-	// asked is when others were last asked whether they hear it.
-	asked time.Time
-	// met is set once a heartbeat of this life was heard.
-	met bool
-	// judged is set while it is dead by this entry's own judgement.
-	judged bool
-	// found is the life that discovery told of.
-	found job.Incarnation
-}
-
-// Detector decides which entries are alive. It is pure: readings and times in,
-// changes out; its owner holds a lock.
+	// watchedSince is when the entry was first watched at its present pace. silenceStart is the
+	// earliest time from which its silence counts: watchedSince, or later if this entry was
+	// paused.
+	watchedSince time.Time
+	silenceStart time.Time
+	lastHeard    time.Time
+	lastVouch    time.Time
+	// lastQuery is when other entries were last asked whether they hear this one.
+	lastQuery time.Time
+	// everHeard is set once a heartbeat of this incarnation has been received.
+	everHeard bool
+	// declaredDead is set while the entry is dead by this entry's own decision.
+	declaredDead bool
+	// discovered is the incarnation that discovery reported.
+	discovered job.Incarnation
+}
+
+// Detector decides which entries are alive. It reads no clock and does no I/O: its methods
+// take clock readings and return changes. The caller holds a lock.
 //
-// A watched entry is declared dead only by what this entry knows itself: silence on
-// the direct way, and nobody who is asked hears it. Where only the way between two
-// entries is broken, both stay in everybody's view, so that no target gets a second
-// holder. Of an entry that is not watched the word of its watchers counts.
+// A watched entry is declared dead only by this entry's own observations: no message arrives
+// on the direct link, and no entry that is asked hears it. If only the link between two
+// entries is broken, both stay in every entry's view, so that no target gets a second
+// holder. For an entry that isn't watched, the reports of its watchers count.
 type Detector struct {
 	self     Member
 	revision uint32
 	peers    []*peerState
-	byName   map[job.EntryID]*peerState
-	// watched are the peers that are watched, by name.
+	byID     map[job.EntryID]*peerState
+	// watched lists the peers that are watched, sorted by name.
 	watched []*peerState
 	version uint64
-	// sparse is set while only some peers are watched.
+	// sparse is set while only some of the peers are watched.
 	sparse bool
-	// across is how entries of other zones are watched closely.
-	across Timings
-	// metOthers is set once another entry was heard; isolatedSince is since when none
-	// is, zero while some are.
-	metOthers     bool
+	// acrossZones applies to entries of other zones that are watched closely.
+	acrossZones Timings
+	// everHeardAny is set once any other entry has been heard. isolatedSince is when this entry
+	// became isolated, or zero while it isn't.
+	everHeardAny  bool
 	isolatedSince time.Time
 }
 
-// NewDetector starts with each configured entry under suspicion: it counts as
-// one that may be alive until its silence lasts.
+// NewDetector returns a detector that suspects every configured entry: each may be alive
+// until its silence lasts too long.
 func NewDetector(now time.Time, self job.Owner, peers []Peer) *Detector {
 	d := &Detector{
 		self:    Member{Entry: self.Entry, Zone: self.Zone, Incarnation: self.Incarnation, State: Alive, Since: now},
-		version: 1, across: AcrossZones, byName: map[job.EntryID]*peerState{},
+		version: 1, acrossZones: AcrossZones, byID: map[job.EntryID]*peerState{},
 	}
 	for _, p := range peers {
 		d.Add(now, p)
@@ -134,34 +136,34 @@
 	return d
 }
 
-// Add watches one more entry from now on, under suspicion until it is heard. A
-// known one only takes over what it holds and, where it is not watched, its later life.
+// Add starts to watch another entry, which is suspect until it is heard. For a known entry,
+// Add only updates its attributes and, if the entry isn't watched, a later incarnation.
 func (d *Detector) Add(now time.Time, p Peer) []Change {
 	if p.Entry == d.self.Entry {
-		d.describe(&d.self, p)
+		d.updateAttributes(&d.self, p)
 		return nil
 	}
 	if known := d.peer(p.Entry); known != nil {
-		d.describe(&known.Member, p)
-		known.found = max(known.found, p.Incarnation)
+		d.updateAttributes(&known.Member, p)
+		known.discovered = max(known.discovered, p.Incarnation)
 		if known.pace != Unwatched || p.Incarnation <= known.Incarnation {
 			return nil
 		}
-		known.met, known.judged, known.revision = false, false, 0
-		return d.set(known, now, Alive, p.Incarnation, "a later life was found", nil)
+		known.everHeard, known.declaredDead, known.revision = false, false, 0
+		return d.setState(known, now, Alive, p.Incarnation, "a later incarnation was discovered", nil)
 	}
-	timings := d.across
+	timings := d.acrossZones
 	if p.Zone == d.self.Zone {
 		timings = InZone
 	}
 	added := &peerState{
 		Member:  Member{Entry: p.Entry, Zone: p.Zone, State: Suspect, Since: now, Reserve: p.Reserve, Carries: p.Carries},
-		timings: timings, watched: now, since: now, found: p.Incarnation,
+		timings: timings, watchedSince: now, silenceStart: now, discovered: p.Incarnation,
 	}
 	d.peers = append(d.peers, added)
-	d.byName[p.Entry] = added
+	d.byID[p.Entry] = added
 	if d.sparse {
-		added.State, added.Incarnation = Alive, p.Incarnation // until somebody says otherwise
+		added.State, added.Incarnation = Alive, p.Incarnation // until another entry reports otherwise
 	} else {
 		added.pace = Close
 		d.watched = append(d.watched, added)
@@ -170,8 +172,8 @@
 	return nil
 }
 
-// describe takes over what a known entry says of itself.
-func (d *Detector) describe(m *Member, p Peer) {
+// updateAttributes applies the attributes that a known entry announces.
+func (d *Detector) updateAttributes(m *Member, p Peer) {
 	if m.Reserve == p.Reserve && m.Carries == p.Carries {
 		return
 	}
@@ -179,34 +181,34 @@
 	d.version++
 }
 
-// Remove forgets an entry that is gone for good.
+// Remove deletes an entry that has left the fleet permanently.
 func (d *Detector) Remove(id job.EntryID) {
-	if d.byName[id] == nil {
+	if d.byID[id] == nil {
 		return
 	}
-	is := func(p *peerState) bool { return p.Entry == id }
-	d.peers = slices.DeleteFunc(d.peers, is)
-	d.watched = slices.DeleteFunc(d.watched, is)
-	delete(d.byName, id)
+	matches := func(p *peerState) bool { return p.Entry == id }
+	d.peers = slices.DeleteFunc(d.peers, matches)
+	d.watched = slices.DeleteFunc(d.watched, matches)
+	delete(d.byID, id)
 	d.version++
 }
 
 func (d *Detector) peer(id job.EntryID) *peerState {
-	return d.byName[id]
+	return d.byID[id]
 }
 
-// set moves a member to a state and notes the change.
-func (d *Detector) set(p *peerState, now time.Time, s State, life job.Incarnation, cause string, changes []Change) []Change {
-	if p.State == s && p.Incarnation == life {
+// setState sets a member's state and incarnation and appends the change.
+func (d *Detector) setState(p *peerState, now time.Time, s State, incarnation job.Incarnation, cause string, changes []Change) []Change {
+	if p.State == s && p.Incarnation == incarnation {
 		return changes
 	}
 	before := p.Member
-	p.State, p.Incarnation, p.Since = s, life, now
+	p.State, p.Incarnation, p.Since = s, incarnation, now
 	d.version++
 	return append(changes, Change{Before: before, After: p.Member, Cause: cause})
 }
 
-// timingsOf returns by which figures an entry is watched.
+// timingsOf returns the timings that apply to the entry at its present pace.
 func (p *peerState) timingsOf() Timings {
 	if p.pace == Loose {
 		return AcrossZones
@@ -214,32 +216,32 @@
 	return p.timings
 }
 
-// silent is for how long an entry has been silent while it was watched.
-func (p *peerState) silent(now time.Time) time.Duration {
-	last := p.heard
-	if p.since.After(last) {
-		last = p.since
+// silentFor returns how long the entry has been unresponsive while it was watched.
+func (p *peerState) silentFor(now time.Time) time.Duration {
+	last := p.lastHeard
+	if p.silenceStart.After(last) {
+		last = p.silenceStart
 	}
 	return now.Sub(last)
 }
 
-// hears reports whether an entry is heard well enough to vouch for it.
-func (p *peerState) hears(now time.Time) bool {
-	return p.met && p.State != Left && now.Sub(p.heard) <= p.timingsOf().VouchWithin
+// canVouch reports whether the entry was heard recently enough to vouch for it.
+func (p *peerState) canVouch(now time.Time) bool {
+	return p.everHeard && p.State != Left && now.Sub(p.lastHeard) <= p.timingsOf().VouchWithin
 }
 
-// Hearing is what a heartbeat changed.
+// Hearing is the result of a received heartbeat.
 type Hearing struct {
 	Changes []Change
-	// News says that others may not know of it.
+	// News is set if other entries may not know the sender's state yet.
 	News bool
-	// Wronged says that the sender is called dead: it must say that it is not.
+	// Wronged is set if the sender is considered dead and has to refute it.
 	Wronged bool
 }
 
-// Hear takes a heartbeat. Heartbeats of a life earlier than the known one are
-// of a process that has ended and say nothing.
-func (d *Detector) Hear(now time.Time, from job.Owner, said State, revision uint32) Hearing {
+// Hear applies a heartbeat. A heartbeat of an incarnation earlier than the known one comes
+// from a process that has ended and is ignored.
+func (d *Detector) Hear(now time.Time, from job.Owner, state State, revision uint32) Hearing {
 	p := d.peer(from.Entry)
 	if p == nil || from.Incarnation < p.Incarnation {
 		return Hearing{}
@@ -248,55 +250,56 @@
 	if p.State == Left && same {
 		return Hearing{}
 	}
-	p.heard, p.met, d.metOthers = now, true, true
+	p.lastHeard, p.everHeard, d.everHeardAny = now, true, true
 	if same && revision < p.revision && p.State != Dead {
-		return Hearing{} // overtaken by a later word
+		return Hearing{} // overtaken by a later revision
 	}
 	h := Hearing{Wronged: same && p.State == Dead && revision <= p.revision}
 	h.News = !h.Wronged && (!same || revision > p.revision)
 	if !same || revision > p.revision {
 		p.revision = revision
 	}
-	p.judged = false
-	h.Changes = d.set(p, now, said, from.Incarnation, "heartbeat", nil)
+	p.declaredDead = false
+	h.Changes = d.setState(p, now, state, from.Incarnation, "heartbeat", nil)
 	return h
 }
 
-// Touch takes another message than a heartbeat for a sign of life. It says nothing of
-// the state of a life that has told it, and makes one alive that has not yet.
+// Touch treats a message other than a heartbeat as a sign of life. It keeps the state that
+// the incarnation has announced, and marks the incarnation alive if it has announced none or
+// is suspected or considered dead.
 func (d *Detector) Touch(now time.Time, from job.Owner) Hearing {
 	p := d.peer(from.Entry)
 	if p == nil || from.Incarnation < p.Incarnation {
 		return Hearing{}
 	}
-	said, revision := p.State, p.revision
+	state, revision := p.State, p.revision
 	if from.Incarnation > p.Incarnation {
 		revision = 0
 	}
-	if !p.met || from.Incarnation > p.Incarnation || p.State == Suspect || p.State == Dead {
-		said = Alive
+	if !p.everHeard || from.Incarnation > p.Incarnation || p.State == Suspect || p.State == Dead {
+		state = Alive
 	}
-	return d.Hear(now, from, said, revision)
+	return d.Hear(now, from, state, revision)
 }
 
-// Vouch takes the word of another entry, which was asked, that it hears a life.
-func (d *Detector) Vouch(now time.Time, by job.EntryID, life job.Owner) []Change {
-	p := d.peer(life.Entry)
-	if p == nil || life.Incarnation < p.Incarnation || p.State == Left && life.Incarnation == p.Incarnation {
+// Vouch applies the answer of another entry that it hears an incarnation.
+func (d *Detector) Vouch(now time.Time, by job.EntryID, owner job.Owner) []Change {
+	p := d.peer(owner.Entry)
+	if p == nil || owner.Incarnation < p.Incarnation || p.State == Left && owner.Incarnation == p.Incarnation {
 		return nil
 	}
-	p.vouched = now
-	if life.Incarnation > p.Incarnation {
-		return d.set(p, now, Suspect, life.Incarnation, fmt.Sprintf("%s hears a new life", by), nil)
+	p.lastVouch = now
+	if owner.Incarnation > p.Incarnation {
+		return d.setState(p, now, Suspect, owner.Incarnation, fmt.Sprintf("a later incarnation is heard by %s", by), nil)
 	}
 	if p.State == Dead {
-		return d.set(p, now, Suspect, p.Incarnation, fmt.Sprintf("%s hears it", by), nil)
+		return d.setState(p, now, Suspect, p.Incarnation, fmt.Sprintf("heard by %s", by), nil)
 	}
 	return nil
 }
 
-// Watch sets how closely each entry is watched; those that are missing are not. Whether all
-// are is said by sparse.
+// Watch sets the pace at which each entry is watched; entries missing from paces aren't
+// watched. sparse is set if paces covers only a part of the fleet.
 func (d *Detector) Watch(now time.Time, paces map[job.EntryID]Pace, sparse bool) {
 	d.sparse = sparse
 	for _, p := range d.watched {
@@ -305,8 +308,8 @@
 		}
 		p.pace = Unwatched
 		if p.State == Suspect {
-			// Nobody says that it is dead, and nothing is expected of it any more.
-			_ = d.set(p, now, Alive, max(p.Incarnation, p.found), "", nil)
+			// No entry reports it dead, and its heartbeats are no longer expected here.
+			_ = d.setState(p, now, Alive, max(p.Incarnation, p.discovered), "", nil)
 		}
 	}
 	d.watched = d.watched[:0]
@@ -316,7 +319,7 @@
 			continue
 		}
 		if pace > p.pace {
-			p.watched, p.since = now, now // it has sent nothing at this pace
+			p.watchedSince, p.silenceStart = now, now // no heartbeats at this pace were requested before
 		}
 		p.pace = pace
 		d.watched = append(d.watched, p)
@@ -324,62 +327,62 @@
 	slices.SortFunc(d.watched, func(a, b *peerState) int { return cmp.Compare(a.Entry, b.Entry) })
 }
 
-// StoodStill notes that nothing of this entry ran for a while: silence in that time
-// says nothing of the others.
+// StoodStill records that this entry was paused. Missing messages of others don't count for
+// the duration of the pause.
 func (d *Detector) StoodStill(now time.Time, gap time.Duration) {
 	for _, p := range d.watched {
-		last := now.Add(-p.silent(now))
-		p.since = last.Add(min(gap, now.Sub(last)))
+		last := now.Add(-p.silentFor(now))
+		p.silenceStart = last.Add(min(gap, now.Sub(last)))
 	}
 }
 
-// Doubtful lists those of whom others are to be asked now.
+// Doubtful lists the members whose state other entries are to be asked about now.
 func (d *Detector) Doubtful(now time.Time, refused func(job.EntryID) bool) []Member {
 	var out []Member
 	for _, p := range d.watched {
 		if p.State == Left || p.State == Dead {
 			continue
 		}
-		silent := p.silent(now)
-		if silent > p.timingsOf().SuspectAfter || silent > askAfter && refused(p.Entry) {
+		silent := p.silentFor(now)
+		if silent > p.timingsOf().SuspectAfter || silent > queryAfter && refused(p.Entry) {
 			out = append(out, p.Member)
 		}
 	}
 	return out
 }
 
-// Asked notes that others were asked whether they hear an entry.
+// Asked records that other entries were asked whether they hear an entry.
 func (d *Detector) Asked(now time.Time, id job.EntryID) {
 	if p := d.peer(id); p != nil {
-		p.asked = now
+		p.lastQuery = now
 	}
 }
 
-// Tick declares what silence has made certain. refused reports whether
-// connections to an entry are refused by its machine, which proves that the
-// process does not run.
+// Tick declares entries suspect or dead whose silence exceeds their timeouts. refused
+// reports whether an entry's machine refuses connections, which proves that the process
+// isn't running.
 func (d *Detector) Tick(now time.Time, refused func(job.EntryID) bool) []Change {
 	var changes []Change
 	for _, p := range d.watched {
 		t := p.timingsOf()
-		silent := p.silent(now)
-		vouched := now.Sub(p.vouched) <= vouchHold
+		silent := p.silentFor(now)
+		vouched := now.Sub(p.lastVouch) <= vouchValidity
 		switch {
 		case p.State == Left, p.State == Dead:
-		case silent > refusedAfter && !vouched && p.asked.After(now.Add(-silent)) && refused(p.Entry):
-			changes = d.bury(p, now, "its machine refuses connections", changes)
+		case silent > refusedAfter && !vouched && p.lastQuery.After(now.Add(-silent)) && refused(p.Entry):
+			changes = d.declareDead(p, now, "its machine refuses connections", changes)
 		case silent > t.DeadAfter && !vouched:
-			changes = d.bury(p, now, fmt.Sprintf("silent for %s and heard by nobody", silent), changes)
+			changes = d.declareDead(p, now, fmt.Sprintf("silent for %s and heard by nobody", silent), changes)
 		case silent > t.SuspectAfter && p.State == Alive:
-			changes = d.set(p, now, Suspect, p.Incarnation, fmt.Sprintf("silent for %s", silent), changes)
+			changes = d.setState(p, now, Suspect, p.Incarnation, fmt.Sprintf("silent for %s", silent), changes)
 		}
 	}
 	return changes
 }
 
-func (d *Detector) bury(p *peerState, now time.Time, cause string, changes []Change) []Change {
-	p.judged = true
-	return d.set(p, now, Dead, p.Incarnation, cause, changes)
+func (d *Detector) declareDead(p *peerState, now time.Time, cause string, changes []Change) []Change {
+	p.declaredDead = true
+	return d.setState(p, now, Dead, p.Incarnation, cause, changes)
 }
 
 // Declare sets this entry's own state.
@@ -391,13 +394,13 @@
 	}
 }
 
-// Hears reports whether a life is heard well enough to vouch for it.
-func (d *Detector) Hears(now time.Time, life job.Owner) bool {
-	p := d.peer(life.Entry)
-	return p != nil && p.Incarnation == life.Incarnation && p.hears(now)
+// Hears reports whether this entry hears an incarnation well enough to vouch for it.
+func (d *Detector) Hears(now time.Time, owner job.Owner) bool {
+	p := d.peer(owner.Entry)
+	return p != nil && p.Incarnation == owner.Incarnation && p.canVouch(now)
 }
 
-// Members returns the present view.
+// Members returns the current view.
 func (d *Detector) Members(refused func(job.EntryID) bool) *Members {
 	m := &Members{Version: d.version, Self: d.self}
 	m.List = append(m.List, d.self)
@@ -409,36 +412,37 @@
 	return m
 }
 
-// hasZoneMate reports whether another entry is configured in this one's zone.
+// hasZoneMate reports whether another entry is configured in this entry's zone.
 func (d *Detector) hasZoneMate() bool {
 	return slices.ContainsFunc(d.peers, func(p *peerState) bool { return p.Zone == d.self.Zone })
 }
 
-// isolated reports whether this entry was cut off: it has heard others in this
-// life, hears none of those that it watches now, and not all of them provably ended. With
-// one other entry in the whole fleet nothing tells a cut from the other's death, and
-// going on is worth more. Nor is an entry isolated that is the only one of its
-// zone: no other entry there could have taken its work over, and a zone that is
-// cut off has to go on serving.
+// isolated reports whether this entry is likely partitioned: it has heard others in this
+// incarnation, hears none of those that it watches now, and not all of them have provably
+// ended. With only one other entry in the whole fleet, a partition can't be told from the
+// other's death, and continuing to serve is worth more. The only entry of its zone isn't
+// isolated either: no other entry there could have taken over its work, and a partitioned
+// zone has to keep serving.
 func (d *Detector) isolated(refused func(job.EntryID) bool) bool {
-	const fewest = 2
-	if len(d.peers) < fewest {
+	const minPeers = 2
+	if len(d.peers) < minPeers {
 		return false
 	}
-	// In a large fleet others have taken the place of those that were watched and heard.
-	met, away := d.metOthers, false
+	// In a large fleet, the watched entries may have changed since others were heard.
+	heardAny, unreachable := d.everHeardAny, false
 	for _, p := range d.watched {
-		// One that was not heard since it is watched may be as far away as the others.
-		if (p.State == Alive || p.State == Draining) && p.heard.After(p.watched) {
+		// An entry that hasn't been heard since it is watched may be as unreachable as the rest.
+		if (p.State == Alive || p.State == Draining) && p.lastHeard.After(p.watchedSince) {
 			return false
 		}
-		away = away || (p.met || d.sparse) && p.State != Left && !refused(p.Entry)
+		unreachable = unreachable || (p.everHeard || d.sparse) && p.State != Left && !refused(p.Entry)
 	}
-	return met && away && d.hasZoneMate()
+	return heardAny && unreachable && d.hasZoneMate()
 }
 
-// Settle notes since when this entry is cut off. Once it hears others again, whom it called
-// dead meanwhile counts as suspect: it was this entry that was away.
+// Settle records when this entry became isolated. Once it hears others again, it reverts the
+// deaths that it declared meanwhile to suspect, because it was this entry that was
+// partitioned. Entries that aren't watched revert to alive.
 func (d *Detector) Settle(now time.Time, refused func(job.EntryID) bool) []Change {
 	isolated := d.isolated(refused)
 	switch {
@@ -447,21 +451,21 @@
 	case !isolated && !d.isolatedSince.IsZero():
 		since := d.isolatedSince
 		d.isolatedSince = time.Time{}
-		return d.recant(now, since)
+		return d.retractDeaths(now, since)
 	}
 	return nil
 }
 
-func (d *Detector) recant(now, since time.Time) []Change {
+func (d *Detector) retractDeaths(now, since time.Time) []Change {
 	var changes []Change
 	for _, p := range d.peers {
-		if p.judged && p.State == Dead && !p.Since.Before(since) {
-			p.judged, p.since = false, now
+		if p.declaredDead && p.State == Dead && !p.Since.Before(since) {
+			p.declaredDead, p.silenceStart = false, now
 			state := Suspect
 			if p.pace == Unwatched {
 				state = Alive
 			}
-			changes = d.set(p, now, state, p.Incarnation, "called dead while this entry was cut off", changes)
+			changes = d.setState(p, now, state, p.Incarnation, "declared dead while this entry was partitioned", changes)
 		}
 	}
 	return changes
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// differsFor is for how long a neighbour's digest must differ until lists are
-	// compared: news under way make digests differ for some hundred milliseconds.
-	differsFor = 600 * time.Millisecond
-	// compareEvery is how often lists are compared at the most.
-	compareEvery = 500 * time.Millisecond
+	// compareAfter is how long a neighbour's digest must differ before the lists are compared.
+	// Updates in transit make digests differ for some hundred milliseconds.
+	compareAfter = 600 * time.Millisecond
+	// minCompareInterval is the minimum interval between two comparisons of lists.
+	minCompareInterval = 500 * time.Millisecond
 )
 
-// Digest is over the lives that this entry takes for alive. Entries whose digests are equal
-// have nothing to tell each other of the fleet.
+// Digest returns a hash of the incarnations that this entry considers alive. Entries with
+// equal digests have no updates about the fleet for each other.
 func (m *Membership) Digest() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -28,8 +28,8 @@
 }
 
 func (m *Membership) digest() uint64 {
-	if m.digestAt == m.detector.version {
-		return m.digestNow
+	if m.digestVersion == m.detector.version {
+		return m.cachedDigest
 	}
 	var live []job.Owner
 	for _, p := range m.detector.peers {
@@ -44,48 +44,48 @@
 		_, _ = h.WriteString(string(o.Entry))
 		_, _ = h.Write(binary.LittleEndian.AppendUint64(nil, uint64(o.Incarnation)))
 	}
-	m.digestAt, m.digestNow = m.detector.version, h.Sum64()
-	return m.digestNow
+	m.digestVersion, m.cachedDigest = m.detector.version, h.Sum64()
+	return m.cachedDigest
 }
 
-// compare reports whether lists are to be compared with a neighbour whose heartbeat has
-// come; the caller holds the lock.
-func (m *Membership) compare(now time.Time, from job.EntryID, theirs uint64) bool {
-	if m.set.All || theirs == 0 || theirs == m.digest() {
-		delete(m.differs, from)
+// shouldCompare reports whether to compare lists with the neighbour that sent a heartbeat.
+// The caller holds the lock.
+func (m *Membership) shouldCompare(now time.Time, from job.EntryID, theirs uint64) bool {
+	if m.watchSet.All || theirs == 0 || theirs == m.digest() {
+		delete(m.differsSince, from)
 		return false
 	}
-	since, known := m.differs[from]
+	since, known := m.differsSince[from]
 	if !known {
-		m.differs[from] = now
+		m.differsSince[from] = now
 		return false
 	}
-	if now.Sub(since) < differsFor || now.Sub(m.comparedAt) < compareEvery {
+	if now.Sub(since) < compareAfter || now.Sub(m.lastCompared) < minCompareInterval {
 		return false
 	}
-	m.differs[from], m.comparedAt = now, now
+	m.differsSince[from], m.lastCompared = now, now
 	return true
 }
 
-// Known returns what this entry knows of a life: whether it hears it, and whether it takes
-// it for ended, by which revision.
-func (m *Membership) Known(life job.Owner) (hears bool, ended *Update) {
+// Known returns what this entry knows about an incarnation: whether it hears the
+// incarnation, and the update that declares it ended, or nil if it isn't known to have ended.
+func (m *Membership) Known(owner job.Owner) (reachable bool, ended *Update) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if life.Entry == m.detector.self.Entry {
-		return life.Incarnation == m.detector.self.Incarnation, nil
+	if owner.Entry == m.detector.self.Entry {
+		return owner.Incarnation == m.detector.self.Incarnation, nil
 	}
-	p := m.detector.peer(life.Entry)
-	if p == nil || p.Incarnation != life.Incarnation {
+	p := m.detector.peer(owner.Entry)
+	if p == nil || p.Incarnation != owner.Incarnation {
 		return false, nil
 	}
 	if p.State == Dead || p.State == Left {
-		u, _ := m.detector.update(life.Entry)
+		u, _ := m.detector.update(owner.Entry)
 		return false, &u
 	}
-	if m.set.All {
+	if m.watchSet.All {
 		return p.State == Alive || p.State == Draining, nil
 	}
-	return p.hears(now), nil
+	return p.canVouch(now), nil
 }
--- a/internal/membership/large_test.go
+++ b/internal/membership/large_test.go
@@ -18,8 +18,8 @@
 
 const largeZones = 5
 
-// largeFleet is a fleet of which each entry knows all others by discovery. Every eleventh
-// entry of a zone holds targets.
+// largeFleet is a fleet in which each entry knows all others by discovery. Every third entry
+// of a zone holds targets.
 type largeFleet struct {
 	*fleet
 	owners []job.Owner
@@ -61,10 +61,10 @@
 	go func() { _ = m.Run(ctx) }()
 }
 
-// differing lists who does not see an entry in a state, those in but excepted.
-func (f *largeFleet) differing(of job.EntryID, state string, but ...job.EntryID) []string {
+// differing lists the entries, except those in except, that don't see an entry in a state.
+func (f *largeFleet) differing(of job.EntryID, state string, except ...job.EntryID) []string {
 	skip := map[job.EntryID]bool{of: true}
-	for _, id := range but {
+	for _, id := range except {
 		skip[id] = true
 	}
 	var out []string
@@ -76,7 +76,7 @@
 	return out
 }
 
-func (f *largeFleet) cut(inside func(job.Owner) bool, down bool) {
+func (f *largeFleet) partition(inside func(job.Owner) bool, down bool) {
 	for _, a := range f.owners {
 		for _, b := range f.owners {
 			if inside(a) != inside(b) {
@@ -86,19 +86,20 @@
 	}
 }
 
-// The sizes of the fleets that are played. thousand takes ten seconds for each play.
+// The sizes of the simulated fleets. A run with 1,000 entries takes ten seconds.
 const (
 	justLarge = watch.Everybody + 6
-	present   = 152
+	typical   = 152
 	thousand  = 1000
 )
 
-var allSizes = flag.Bool("membership.all", false, "play all tests of large fleets with 1,000 entries too")
+var allSizes = flag.Bool("membership.all", false, "run all tests of large fleets with 1,000 entries too")
 
-// inLargeFleets plays a test in fleets of several sizes: always up to most.
-func inLargeFleets(t *testing.T, most int, test func(t *testing.T, f *largeFleet)) {
-	for _, entries := range []int{justLarge, present, thousand} {
-		if entries > most && !*allSizes || entries == thousand && raceDetector {
+// inLargeFleets runs a test in fleets of several sizes, up to maxEntries unless all sizes are
+// requested.
+func inLargeFleets(t *testing.T, maxEntries int, test func(t *testing.T, f *largeFleet)) {
+	for _, entries := range []int{justLarge, typical, thousand} {
+		if entries > maxEntries && !*allSizes || entries == thousand && raceDetector {
 			continue
 		}
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
@@ -111,8 +112,8 @@
 	}
 }
 
-// Guards against a death that entries which don't watch the dead one learn late or never,
-// and against a sparse watch that takes others for dead.
+// Guards against a death that entries which don't watch the dead one learn of late or never,
+// and against sparse watching that declares other entries dead.
 func TestDeathIsKnownEverywhere(t *testing.T) {
 	inLargeFleets(t, thousand, func(t *testing.T, f *largeFleet) {
 		dead := f.owners[7].Entry
@@ -132,10 +133,10 @@
 	})
 }
 
-// Guards against two holders of one target: a way between two neighbours that breaks must
-// not have either called dead.
-func TestBrokenWayBetweenNeighboursKillsNobody(t *testing.T) {
-	inLargeFleets(t, present, func(t *testing.T, f *largeFleet) {
+// Guards against two holders of one target: a broken link between two neighbours must not get
+// either declared dead.
+func TestBrokenLinkBetweenNeighboursDeclaresNoneDead(t *testing.T) {
+	inLargeFleets(t, typical, func(t *testing.T, f *largeFleet) {
 		a := f.owners[3]
 		b := watch.Ring(a.Entry, a.Zone, f.members[a.Entry].detector.watchMembers())[0]
 		f.net.CutBoth(a.Entry, b, true)
@@ -148,12 +149,12 @@
 	})
 }
 
-// Guards against zones that don't find each other again after a cut, and against a cut that
-// has entries on one side of it take each other for dead.
-func TestZoneThatWasCutOffIsKnownAgain(t *testing.T) {
-	inLargeFleets(t, present, func(t *testing.T, f *largeFleet) {
+// Guards against zones that don't find each other again after a partition, and against a
+// partition after which entries on the same side declare each other dead.
+func TestPartitionedZoneRejoins(t *testing.T) {
+	inLargeFleets(t, typical, func(t *testing.T, f *largeFleet) {
 		inside := func(o job.Owner) bool { return o.Zone == "z2" }
-		f.cut(inside, true)
+		f.partition(inside, true)
 		f.pass(10 * time.Second)
 		for _, a := range f.owners {
 			for _, b := range f.owners {
@@ -163,7 +164,7 @@
 			}
 			qt.Assert(t, f.members[a.Entry].View().Isolated, qt.IsFalse)
 		}
-		f.cut(inside, false)
+		f.partition(inside, false)
 		f.pass(5 * time.Second)
 		for _, o := range f.owners {
 			qt.Assert(t, f.differing(o.Entry, "alive"), qt.HasLen, 0)
@@ -171,62 +172,61 @@
 	})
 }
 
-// Guards against an entry that was cut off and spreads, when it is back, that the others had
-// died meanwhile.
-func TestEntryThatWasCutOffIsKnownAgain(t *testing.T) {
-	inLargeFleets(t, present, func(t *testing.T, f *largeFleet) {
-		alone := f.owners[11].Entry
-		inside := func(o job.Owner) bool { return o.Entry == alone }
-		f.cut(inside, true)
+// Guards against a partitioned entry that returns and spreads that the others died meanwhile.
+func TestPartitionedEntryRejoins(t *testing.T) {
+	inLargeFleets(t, typical, func(t *testing.T, f *largeFleet) {
+		partitioned := f.owners[11].Entry
+		inside := func(o job.Owner) bool { return o.Entry == partitioned }
+		f.partition(inside, true)
 		f.pass(8 * time.Second)
-		qt.Assert(t, f.members[alone].View().Isolated, qt.IsTrue)
-		qt.Assert(t, f.differing(alone, "dead"), qt.HasLen, 0)
-		f.cut(inside, false)
+		qt.Assert(t, f.members[partitioned].View().Isolated, qt.IsTrue)
+		qt.Assert(t, f.differing(partitioned, "dead"), qt.HasLen, 0)
+		f.partition(inside, false)
 		for range 16 {
 			f.pass(250 * time.Millisecond)
 			for _, o := range f.owners {
-				if o.Entry != alone {
-					qt.Assert(t, f.differing(o.Entry, "alive", alone), qt.HasLen, 0)
+				if o.Entry != partitioned {
+					qt.Assert(t, f.differing(o.Entry, "alive", partitioned), qt.HasLen, 0)
 				}
 			}
 		}
-		qt.Assert(t, f.differing(alone, "alive"), qt.HasLen, 0)
-		qt.Assert(t, f.members[alone].View().Isolated, qt.IsFalse)
+		qt.Assert(t, f.differing(partitioned, "alive"), qt.HasLen, 0)
+		qt.Assert(t, f.members[partitioned].View().Isolated, qt.IsFalse)
 	})
 }
 
-// Guards against a planned stop that entries which don't watch the one that stops learn
-// late: they would go on giving it work.
+// Guards against a planned stop that entries which don't watch the stopping one learn of
+// late: they would continue to give it work.
 func TestPlannedStopIsKnownEverywhere(t *testing.T) {
-	inLargeFleets(t, present, func(t *testing.T, f *largeFleet) {
-		leaving := f.owners[9].Entry
-		f.members[leaving].Drain()
+	inLargeFleets(t, typical, func(t *testing.T, f *largeFleet) {
+		stopping := f.owners[9].Entry
+		f.members[stopping].Drain()
 		f.pass(500 * time.Millisecond)
-		qt.Assert(t, f.differing(leaving, "draining"), qt.HasLen, 0)
-		f.members[leaving].Leave(context.Background())
+		qt.Assert(t, f.differing(stopping, "draining"), qt.HasLen, 0)
+		f.members[stopping].Leave(context.Background())
 		f.pass(500 * time.Millisecond)
-		qt.Assert(t, f.differing(leaving, "left"), qt.HasLen, 0)
-		f.kill(leaving)
+		qt.Assert(t, f.differing(stopping, "left"), qt.HasLen, 0)
+		f.kill(stopping)
 		f.pass(10 * time.Second)
-		qt.Assert(t, f.differing(leaving, "left"), qt.HasLen, 0)
+		qt.Assert(t, f.differing(stopping, "left"), qt.HasLen, 0)
 	})
 }
 
-// Guards against messages at rest that grow with the fleet.
+// Guards against message rates at rest that grow with the fleet.
 func TestMessagesAtRestDoNotGrowWithTheFleet(t *testing.T) {
-	const seconds, most = 10, 30
+	const seconds, limit = 10, 30
 	inLargeFleets(t, thousand, func(t *testing.T, f *largeFleet) {
 		kinds := []peer.Kind{peer.Heartbeat, peer.MemberUpdates, peer.MemberAsk}
-		before := 0
+		sent := 0
 		for _, k := range kinds {
-			before -= f.net.Sent(k)
+			sent -= f.net.Sent(k)
 		}
 		f.pass(seconds * time.Second)
 		for _, k := range kinds {
-			before += f.net.Sent(k)
+			sent += f.net.Sent(k)
 		}
-		each := float64(before) / seconds / float64(len(f.owners))
+		each := float64(sent) / seconds / float64(len(f.owners))
 		t.Logf("%d entries: %.1f messages a second sent by each", len(f.owners), each)
-		qt.Assert(t, each <= most, qt.IsTrue)
+		qt.Assert(t, each <= limit, qt.IsTrue)
 	})
 }
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -10,11 +10,10 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// State is how this entry sees a member.
+// State is the state of a member in this entry's view.
 type State uint8
 
-// The states. A suspect may be alive and counts as such until it is declared
-// dead.
+// The states. A suspect may be alive and is treated as alive until it is declared dead.
 const (
 	Alive State = iota + 1
 	Suspect
@@ -23,7 +22,7 @@
 	Left
 )
 
-// String returns the state as status and time line show it.
+// String returns the state's name in the status output and the timeline.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -40,22 +39,21 @@
 	return "unknown"
 }
 
-// Member is one entry as this one sees it.
+// Member is one entry in this entry's view.
 type Member struct {
 	Entry       job.EntryID
 	Zone        job.Zone
 	Incarnation job.Incarnation
 	State       State
-	// Since is when the member came into this state, by this entry's clock.
+	// Since is when the member entered this state, by this entry's clock.
 	Since time.Time
-	// Reserve says that the member holds targets only while no other entry of
-	// its zone can.
+	// Reserve is set for a member that holds targets only while no other entry of its zone can.
 	Reserve bool
-	// Carries is how many targets it can hold; zero where it does not say.
+	// Carries is how many targets the member can hold; zero if it reports no limit.
 	Carries int
 }
 
-// Owner returns the member's life.
+// Owner identifies the member's incarnation.
 func (m Member) Owner() job.Owner {
 	return job.Owner{Entry: m.Entry, Incarnation: m.Incarnation, Zone: m.Zone}
 }
@@ -63,19 +61,19 @@
 // Serving reports whether the member may hold targets.
 func (m Member) Serving() bool { return m.State == Alive || m.State == Suspect }
 
-// Live reports whether the member may still run and hold records.
+// Live reports whether the member may still be running and holding records.
 func (m Member) Live() bool { return m.Serving() || m.State == Draining }
 
-// Members is a view of all entries at one moment. It is never changed.
+// Members is an immutable view of all entries at one moment.
 type Members struct {
-	// Version grows with each change of this entry's view.
+	// Version increases with each change of this entry's view.
 	Version uint64
 	Self    Member
-	// List holds all configured entries, this one included, by name.
+	// List holds all configured entries, including this one, sorted by name.
 	List []Member
-	// Isolated is set while this entry hears nobody although it has, and others
-	// are configured in its zone: it is more likely cut off itself than the only
-	// one left.
+	// Isolated is set while this entry hears no other entry, has heard others before, and
+	// others are configured in its zone. This entry is then more likely to be partitioned than
+	// to be the only one left.
 	Isolated bool
 }
 
@@ -92,16 +90,16 @@
 	return m.List[i], true
 }
 
-// Gone reports whether that life of an entry has ended or is taken for ended.
-func (m *Members) Gone(id job.EntryID, life job.Incarnation) bool {
+// Gone reports whether the incarnation of an entry has ended or is considered ended.
+func (m *Members) Gone(id job.EntryID, incarnation job.Incarnation) bool {
 	member, ok := m.Get(id)
-	if !ok || member.Incarnation > life {
+	if !ok || member.Incarnation > incarnation {
 		return true
 	}
-	return member.Incarnation == life && (member.State == Dead || member.State == Left)
+	return member.Incarnation == incarnation && (member.State == Dead || member.State == Left)
 }
 
-// Holder returns the entry that holds a target of a zone; empty for none.
+// Holder returns the entry that holds a target in a zone, or an empty ID if there is none.
 func (m *Members) Holder(zone job.Zone, target job.TargetID) job.EntryID {
 	ranked := m.rank(zone, string(target), func(m Member) bool { return m.Serving() && !m.Reserve })
 	if len(ranked) == 0 {
@@ -113,31 +111,31 @@
 	return ranked[0]
 }
 
-// Ranked returns the live entries of a zone in the order in which they keep
-// what belongs to key.
+// Ranked returns the live entries of a zone, ordered by their preference as keepers of the
+// data under key.
 func (m *Members) Ranked(zone job.Zone, key string) []job.EntryID {
 	return m.rank(zone, key, Member.Live)
 }
 
-// Live lists the entries of a zone that may run, by name.
+// Live lists the entries of a zone that may be running, sorted by name.
 func (m *Members) Live(zone job.Zone) []job.EntryID { return m.names(zone, Member.Live) }
 
-func (m *Members) names(zone job.Zone, counts func(Member) bool) []job.EntryID {
+func (m *Members) names(zone job.Zone, include func(Member) bool) []job.EntryID {
 	var names []job.EntryID
 	for _, member := range m.List {
-		if member.Zone == zone && counts(member) {
+		if member.Zone == zone && include(member) {
 			names = append(names, member.Entry)
 		}
 	}
 	return names
 }
 
-func (m *Members) rank(zone job.Zone, key string, counts func(Member) bool) []job.EntryID {
-	return Rank(m.names(zone, counts), key)
+func (m *Members) rank(zone job.Zone, key string, include func(Member) bool) []job.EntryID {
+	return Rank(m.names(zone, include), key)
 }
 
-// Rank orders entries by rendezvous hashing: each entry's place depends on its
-// own name only, so one that comes or goes moves nothing between the others.
+// Rank orders entries by rendezvous hashing. The score of an entry depends only on its own
+// name and the key, so adding or removing an entry doesn't reorder the others.
 func Rank(entries []job.EntryID, key string) []job.EntryID {
 	type scored struct {
 		entry job.EntryID
@@ -160,7 +158,7 @@
 	return ranked
 }
 
-// Zones lists the zones of the fleet in order.
+// Zones lists the zones of the fleet in sorted order.
 func (m *Members) Zones() []job.Zone {
 	var zones []job.Zone
 	for _, member := range m.List {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,16 +1,15 @@
-// Package membership keeps each entry's view of the others. In a small fleet all exchange
-// heartbeats: frequent inside an availability zone, sparse across zones. In a large one each
-// entry watches a few others (package watch) and those with whom it shares work, and what is
-// found is told to the rest.
+// Package membership maintains each entry's view of the others. In a small fleet all entries
+// exchange heartbeats: frequently inside an availability zone, less often across zones. In a
+// large fleet each entry watches a few others (package watch) and those with which it shares
+// work, and reports what it detects to the rest.
 //
-// The pattern that it answers is entries that die, are restarted, are cut off
-// for long or are paused by a busy VM, while each zone has to go on. Without it
-// a dead entry's targets would stay unserved, and one that returns would act on
-// what it believed before. The figures and their grounds stand at Timings;
-// measured bytes are in docs/design/20-membership.md.
+// Entries die, restart, are partitioned for long or are paused by a busy VM, while each zone
+// has to keep serving. Without a shared view, a dead entry's targets would stay unserved,
+// and an entry that returns would act on outdated state. Timings documents the intervals and
+// their reasons; measured bytes are in docs/design/20-membership.md.
 //
-// Heartbeats also carry what would otherwise need messages of its own: the
-// configuration's number and digest, and the loads of the sender's targets.
+// Heartbeats also carry data that would otherwise need separate messages: the number and
+// digest of the configuration, and the loads of the sender's targets.
 package membership
 
 import (
@@ -35,23 +34,23 @@
 type Peer struct {
 	Entry job.EntryID
 	Zone  job.Zone
-	// Reserve says that it holds targets only while no other entry of its zone
-	// can.
+	// Reserve is set for an entry that holds targets only while no other entry of its zone can.
 	Reserve bool
-	// Carries is how many targets it can hold; zero where it does not say.
+	// Carries is how many targets the entry can hold; zero if it reports no limit.
 	Carries int
-	// Incarnation is the life that discovery found; zero where the settings name the entry.
+	// Incarnation is the incarnation that discovery reported; zero for an entry that is named in
+	// the settings.
 	Incarnation job.Incarnation
 }
 
 // Config is the configuration whose number and digest heartbeats carry.
 type Config interface {
 	Summary() (number uint64, digest string)
-	// Observe takes another entry's number and digest. It must not block.
+	// Observe receives another entry's number and digest. It must not block.
 	Observe(from job.EntryID, number uint64, digest string)
 }
 
-// Options are the settings of a membership.
+// Options configures a Membership.
 type Options struct {
 	Mesh   peer.Mesh
 	Peers  []Peer
@@ -60,32 +59,31 @@
 	Config Config
 	// Loads returns the loads of the targets that this entry holds.
 	Loads func() []job.HolderLoad
-	// Refused reports whether the machine of an entry refuses connections. May be nil.
+	// Refused reports whether an entry's machine refuses connections. May be nil.
 	Refused func(job.EntryID) bool
-	// Stand is told to which entries links are to be kept up; nil stands for all. May be
-	// nil.
+	// Stand receives the entries to which links are to be kept up; nil means all. May be nil.
 	Stand func([]job.EntryID)
-	// Loaded gets the loads of other holders as they come. May be nil.
+	// Loaded receives the loads of other holders as they arrive. May be nil.
 	Loaded func([]Load)
-	// Compare is told of an entry that knows another fleet than this one, to compare
-	// lists with it. It must not block. May be nil.
+	// Compare is called with an entry whose list of the fleet differs from this one's, to compare
+	// the lists. It must not block. May be nil.
 	Compare func(job.EntryID)
-	// Busy lists the entries that share transient work with this one: work that
-	// ends with the silence of either. May be nil.
+	// Busy lists the entries that share transient work with this one: work that ends when
+	// either entry is unresponsive. May be nil.
 	Busy func() []job.EntryID
-	// Across is how entries of other zones are watched; zero takes AcrossZones.
+	// Across holds the timings for entries of other zones; the zero value means AcrossZones.
 	Across Timings
-	// Now is the clock whose readings other entries send back; nil takes time.Now.
+	// Now is the clock whose readings other entries echo; nil means time.Now.
 	Now func() time.Time
-	// Proved, when set, is told when by this entry's clock another one was alive for
-	// certain: it has sent back a reading that was made then.
+	// Proved is called with a time at which another entry was certainly alive: it has echoed a
+	// reading that this entry's clock made then. May be nil.
 	Proved func(owner job.Owner, at time.Time)
-	// Speaks reports whether this entry may prove to another one that it goes on for its
-	// callers; nil stands for always.
+	// Speaks reports whether this entry may prove to another one that it continues to act for
+	// its callers; nil means always.
 	Speaks func(to job.EntryID) bool
 }
 
-// Load is one holder's load and the age of the news.
+// Load is one holder's load and the age of the report.
 type Load struct {
 	job.HolderLoad
 	Age time.Duration
@@ -95,53 +93,56 @@
 type Membership struct {
 	opts Options
 	view atomic.Pointer[Members]
-	// changed wakes Run after a heartbeat changed the view.
+	// changed wakes Run after the view has changed.
 	changed chan struct{}
 
 	mu        sync.Mutex
 	detector  *Detector
-	loads     map[job.EntryID]loads
+	loads     map[job.EntryID]loadReport
 	callbacks []func(Members)
-	// sent is when the last heartbeat went to each entry, toldLoads which version of
-	// this entry's loads it had.
-	sent         map[job.EntryID]time.Time
-	toldLoads    map[job.EntryID]uint64
-	lastLoads    []job.HolderLoad
-	loadsVersion uint64
-	// holding is set while this entry holds targets.
-	holding bool
-	// set is whom this entry watches by its place, and zoneMates who else is in its zone,
-	// chosen at a version of the view; wants is who asked for heartbeats.
-	set       watch.Set
-	zoneMates []*peerState
-	chosenAt  uint64
-	wants     map[job.EntryID]want
-	// stands is to whom links were last asked for.
-	stands []job.EntryID
-	// configs is the configuration that each entry last said it holds.
-	configs map[job.EntryID]uint64
-	// unspread are the entries of which news are to be told.
-	unspread map[job.EntryID]bool
-	// ticked is when Run last looked, turn counts questions.
-	ticked time.Time
-	turn   int
-	// digestNow is the digest at version digestAt; differs is since when that of a
-	// neighbour differs; comparedAt is when lists were last compared.
-	digestNow, digestAt uint64
-	differs             map[job.EntryID]time.Time
-	comparedAt          time.Time
-	// ruler makes this entry's readings; readings are the last of the others.
+	// sent is when the last heartbeat went to each entry, and sentLoadsVersion is the version of
+	// this entry's loads that it carried.
+	sent             map[job.EntryID]time.Time
+	sentLoadsVersion map[job.EntryID]uint64
+	lastLoads        []job.HolderLoad
+	loadsVersion     uint64
+	// holdsAny is set while this entry holds targets.
+	holdsAny bool
+	// watchSet holds the entries that this one watches because of their position, and zoneMates
+	// the other entries of its zone, both computed at chosenVersion of the view. requests holds
+	// the heartbeat requests of other entries.
+	watchSet      watch.Set
+	zoneMates     []*peerState
+	chosenVersion uint64
+	requests      map[job.EntryID]heartbeatRequest
+	// keptLinks is the list last passed to Options.Stand.
+	keptLinks []job.EntryID
+	// configNumbers is the number of the configuration that each entry last reported.
+	configNumbers map[job.EntryID]uint64
+	// pendingUpdates holds the entries whose state is to be sent to the neighbours.
+	pendingUpdates map[job.EntryID]bool
+	// lastTick is the time of the last tick; queryCount counts queries to select witnesses in
+	// turn.
+	lastTick   time.Time
+	queryCount int
+	// cachedDigest is the digest at digestVersion of the view; differsSince is when the digest
+	// of each neighbour began to differ; lastCompared is when lists were last compared.
+	cachedDigest, digestVersion uint64
+	differsSince                map[job.EntryID]time.Time
+	lastCompared                time.Time
+	// ruler makes this entry's clock readings; readings holds the last reading of each other
+	// entry.
 	ruler    awake.Ruler
-	readings map[job.EntryID]reading
+	readings map[job.EntryID]clockReading
 }
 
-// loads is what one entry last said of its targets.
-type loads struct {
+// loadReport is the last report of an entry's loads.
+type loadReport struct {
 	at   time.Time
 	list []job.HolderLoad
 }
 
-// New returns a membership whose view holds all peers under suspicion.
+// New returns a membership whose view holds all peers as suspects.
 func New(o Options) *Membership {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -162,32 +163,32 @@
 		o.Proved = func(job.Owner, time.Time) {}
 	}
 	m := &Membership{
-		ruler: awake.NewRuler(o.Now()), readings: map[job.EntryID]reading{},
-		opts: o, changed: make(chan struct{}, 1), loads: map[job.EntryID]loads{},
-		sent: map[job.EntryID]time.Time{}, toldLoads: map[job.EntryID]uint64{},
-		wants: map[job.EntryID]want{}, configs: map[job.EntryID]uint64{}, unspread: map[job.EntryID]bool{}, differs: map[job.EntryID]time.Time{},
+		ruler: awake.NewRuler(o.Now()), readings: map[job.EntryID]clockReading{},
+		opts: o, changed: make(chan struct{}, 1), loads: map[job.EntryID]loadReport{},
+		sent: map[job.EntryID]time.Time{}, sentLoadsVersion: map[job.EntryID]uint64{},
+		requests: map[job.EntryID]heartbeatRequest{}, configNumbers: map[job.EntryID]uint64{}, pendingUpdates: map[job.EntryID]bool{}, differsSince: map[job.EntryID]time.Time{},
 		detector: NewDetector(time.Now(), o.Mesh.Self(), o.Peers),
 	}
 	if o.Across != (Timings{}) {
-		m.detector.across = o.Across
+		m.detector.acrossZones = o.Across
 		for _, p := range m.detector.peers {
 			if p.Zone != o.Mesh.Self().Zone {
 				p.timings = o.Across
 			}
 		}
 	}
-	m.choose()
+	m.chooseWatchSet()
 	m.view.Store(m.detector.Members(o.Refused))
-	o.Mesh.HandleInOrder(peer.Heartbeat, m.handle)
+	o.Mesh.HandleInOrder(peer.Heartbeat, m.handleHeartbeat)
 	o.Mesh.HandleInOrder(peer.MemberUpdates, m.handleUpdates)
-	o.Mesh.Handle(peer.MemberAsk, m.handleAsk)
+	o.Mesh.Handle(peer.MemberAsk, m.handleQuery)
 	return m
 }
 
-// View returns the present view.
+// View returns the current view.
 func (m *Membership) View() Members { return *m.view.Load() }
 
-// Add takes in more entries.
+// Add adds entries or updates known ones.
 func (m *Membership) Add(peers ...Peer) {
 	now := time.Now()
 	var changes []Change
@@ -195,32 +196,32 @@
 	for _, p := range peers {
 		changes = append(changes, m.detector.Add(now, p)...)
 	}
-	grown := m.set.All && len(m.detector.peers) > watch.Everybody
+	grown := m.watchSet.All && len(m.detector.peers) > watch.Everybody
 	m.publish()
 	m.mu.Unlock()
-	m.tell(changes)
+	m.reportChanges(changes)
 	if grown {
-		m.rewatchNow(now)
+		m.refreshWatched(now)
 	}
 }
 
-// Remove forgets an entry that is gone for good.
+// Remove deletes an entry that has left the fleet permanently.
 func (m *Membership) Remove(id job.EntryID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.detector.Remove(id)
 	delete(m.loads, id)
 	delete(m.sent, id)
-	delete(m.toldLoads, id)
+	delete(m.sentLoadsVersion, id)
 	delete(m.readings, id)
-	delete(m.wants, id)
-	delete(m.configs, id)
-	delete(m.differs, id)
+	delete(m.requests, id)
+	delete(m.configNumbers, id)
+	delete(m.differsSince, id)
 	m.publish()
 }
 
-// OnChange adds a function that gets each new view, in order, from one
-// goroutine. It is called before Run.
+// OnChange adds a function that receives each new view, in order, from one goroutine. It must
+// be called before Run.
 func (m *Membership) OnChange(f func(Members)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -232,62 +233,62 @@
 	return m.HolderOf(m.opts.Mesh.Self().Zone, target)
 }
 
-// HolderOf returns the entry of a zone that holds a target; empty for none.
+// HolderOf returns the entry of a zone that holds a target, or an empty ID if there is none.
 func (m *Membership) HolderOf(zone job.Zone, target job.TargetID) job.EntryID {
 	return m.view.Load().Holder(zone, target)
 }
 
-// Gone reports whether that life of an entry is over in this entry's view.
-func (m *Membership) Gone(entry job.EntryID, life job.Incarnation) bool {
-	return m.view.Load().Gone(entry, life)
+// Gone reports whether the incarnation of an entry has ended in this entry's view.
+func (m *Membership) Gone(entry job.EntryID, incarnation job.Incarnation) bool {
+	return m.view.Load().Gone(entry, incarnation)
 }
 
-// Heard reports whether a heartbeat of an entry has come in this life.
+// Heard reports whether a heartbeat of an entry's present incarnation has arrived.
 func (m *Membership) Heard(entry job.EntryID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.detector.peer(entry)
-	return p != nil && p.met
+	return p != nil && p.everHeard
 }
 
-// Silent returns for how long nothing was heard of a life of an entry. A life
-// that is over, or an entry that is not known, has been silent for ever.
-func (m *Membership) Silent(entry job.EntryID, life job.Incarnation) time.Duration {
+// Silent returns how long ago an incarnation of an entry was last heard. For an incarnation
+// that has ended, or an unknown entry, it returns the maximum duration.
+func (m *Membership) Silent(entry job.EntryID, incarnation job.Incarnation) time.Duration {
 	const forever = time.Duration(1<<63 - 1)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.detector.peer(entry)
-	if p == nil || p.Incarnation != life || p.State == Left {
+	if p == nil || p.Incarnation != incarnation || p.State == Left {
 		return forever
 	}
-	return time.Since(p.heard)
+	return time.Since(p.lastHeard)
 }
 
-// Touch notes that a life of an entry was heard by something else than a heartbeat,
-// such as work that it handed over. Between two heartbeats of a large fleet it would
-// be taken for silent.
+// Touch records a sign of life other than a heartbeat, such as work that an entry handed
+// over. Otherwise the entry would count as unresponsive between two heartbeats of a large
+// fleet.
 func (m *Membership) Touch(from job.Owner) {
 	m.mu.Lock()
-	heard := m.detector.Touch(time.Now(), from)
-	wronged := m.takeHearing(from, heard)
+	result := m.detector.Touch(time.Now(), from)
+	refutable := m.applyHearing(from, result)
 	m.publish()
 	m.mu.Unlock()
-	m.tell(heard.Changes)
-	if wronged != nil {
-		m.sendBack(*wronged)
+	m.reportChanges(result.Changes)
+	if refutable != nil {
+		m.requestRefutation(*refutable)
 	}
 }
 
-// takeHearing spreads what a sign of life brought, and returns what its sender has to
-// refute; nil for nothing. The caller holds the lock.
-func (m *Membership) takeHearing(from job.Owner, heard Hearing) *Update {
-	if m.set.All {
+// applyHearing queues the update that a sign of life brought. It returns the update that the
+// sender has to refute, or nil if there is none. The caller holds the lock.
+func (m *Membership) applyHearing(from job.Owner, result Hearing) *Update {
+	if m.watchSet.All {
 		return nil
 	}
-	if heard.News {
-		m.spread(from.Entry)
+	if result.News {
+		m.queueUpdates(from.Entry)
 	}
-	if !heard.Wronged {
+	if !result.Wronged {
 		return nil
 	}
 	u, _ := m.detector.update(from.Entry)
@@ -295,12 +296,12 @@
 	return &u
 }
 
-// Run sends heartbeats and watches those of others until ctx ends.
+// Run sends heartbeats and evaluates those of others until ctx ends.
 func (m *Membership) Run(ctx context.Context) error {
 	tick := time.NewTicker(InZone.Period)
 	defer tick.Stop()
-	m.rewatchNow(time.Now())
-	m.beat(time.Now(), true)
+	m.refreshWatched(time.Now())
+	m.sendDue(time.Now(), true)
 	seen := uint64(0)
 	for {
 		seen = m.notify(seen)
@@ -311,12 +312,12 @@
 		case <-tick.C:
 			now := time.Now()
 			m.tick(now)
-			m.beat(now, false)
+			m.sendDue(now, false)
 		}
 	}
 }
 
-// notify gives a new view to the callbacks.
+// notify passes a new view to the callbacks and returns the version that they have seen.
 func (m *Membership) notify(seen uint64) uint64 {
 	view := m.view.Load()
 	if view.Version == seen {
@@ -331,54 +332,55 @@
 	return view.Version
 }
 
-// stoodStill is how long this entry must have been late for its own look to have missed
-// what others sent.
-const stoodStill = 1500 * time.Millisecond
+// pauseThreshold is the gap between two ticks above which this entry must have been paused
+// and may have missed messages of others.
+const pauseThreshold = 1500 * time.Millisecond
 
 func (m *Membership) tick(now time.Time) {
-	m.rewatchNow(now)
+	m.refreshWatched(now)
 	m.mu.Lock()
-	if gap := now.Sub(m.ticked); !m.ticked.IsZero() && gap > stoodStill {
+	if gap := now.Sub(m.lastTick); !m.lastTick.IsZero() && gap > pauseThreshold {
 		m.detector.StoodStill(now, gap)
 	}
-	m.ticked = now
+	m.lastTick = now
 	changes := m.detector.Tick(now, m.opts.Refused)
-	m.spreadChanges(changes)
+	m.queueDeaths(changes)
 	changes = append(changes, m.detector.Settle(now, m.opts.Refused)...)
-	questions := m.questions(now)
+	queries := m.dueQueries(now)
 	m.publish()
 	m.mu.Unlock()
-	m.tell(changes)
-	m.ask(questions)
+	m.reportChanges(changes)
+	m.startQueries(queries)
 }
 
-// rewatchNow chooses whom this entry watches, and has links to them kept up.
-func (m *Membership) rewatchNow(now time.Time) {
-	busy := m.busy()
+// refreshWatched updates the watched entries, and requests the links to keep up if they have
+// changed.
+func (m *Membership) refreshWatched(now time.Time) {
+	busy := m.busyEntries()
 	m.mu.Lock()
-	m.rewatch(now, busy)
-	stands := m.standing(now)
-	changed := !slices.Equal(stands, m.stands) || (stands == nil) != (m.stands == nil)
-	m.stands = stands
+	m.updateWatched(now, busy)
+	links := m.linksToKeep(now)
+	changed := !slices.Equal(links, m.keptLinks) || (links == nil) != (m.keptLinks == nil)
+	m.keptLinks = links
 	m.publish()
 	m.mu.Unlock()
 	if changed && m.opts.Stand != nil {
-		m.opts.Stand(stands)
+		m.opts.Stand(links)
 	}
 }
 
-// busy returns the entries that share transient work with this one. In a small fleet
-// everybody is watched closely anyway.
-func (m *Membership) busy() []job.EntryID {
+// busyEntries returns the entries that share transient work with this one. In a small fleet
+// every entry is watched closely anyway.
+func (m *Membership) busyEntries() []job.EntryID {
 	if m.opts.Busy == nil || len(m.View().List)-1 <= watch.Everybody {
 		return nil
 	}
 	return m.opts.Busy()
 }
 
-// publish stores the view if it differs; the caller holds m.mu. It comes with each
-// heartbeat, of which nearly all change nothing: a list of the whole fleet made for
-// each would cost with the square of the fleet.
+// publish stores the view if it has changed. The caller holds m.mu. It is called for each
+// heartbeat, of which nearly all change nothing: building a list of the whole fleet for each
+// would make the cost quadratic in the size of the fleet.
 func (m *Membership) publish() {
 	old := m.view.Load()
 	if m.detector.version == old.Version && m.detector.isolated(m.opts.Refused) == old.Isolated {
@@ -391,23 +393,23 @@
 	}
 }
 
-// Drain tells all entries that this one takes no new work, so that they hold
-// its targets from now on.
-func (m *Membership) Drain() { m.declare(Draining) }
+// Drain announces to all entries that this one takes no new work, so that they hold its
+// targets from now on.
+func (m *Membership) Drain() { m.declareState(Draining) }
 
-// Leave tells all entries that this one has ended its work.
-func (m *Membership) Leave(context.Context) { m.declare(Left) }
+// Leave announces to all entries that this one has ended its work.
+func (m *Membership) Leave(context.Context) { m.declareState(Left) }
 
-// Spread tells the neighbours in a large fleet of a configuration that has just come into
-// force here, those that are not known to have it. In a small one the voters tell all.
+// Spread announces a configuration that has just taken effect here to those neighbours in a
+// large fleet that aren't known to have it. In a small fleet the voters notify all entries.
 func (m *Membership) Spread() {
-	b := m.compose()
+	b := m.composeHeartbeat()
 	m.mu.Lock()
-	var list []due
-	if !m.set.All {
-		for _, id := range m.near() {
-			if m.configs[id] < b.ConfigNumber {
-				list = append(list, due{to: id})
+	var list []dueHeartbeat
+	if !m.watchSet.All {
+		for _, id := range m.neighbours() {
+			if m.configNumbers[id] < b.ConfigNumber {
+				list = append(list, dueHeartbeat{to: id})
 			}
 		}
 	}
@@ -415,19 +417,19 @@
 	m.send(b, list)
 }
 
-// Beat sends a heartbeat to all entries at once, for news that callers wait for.
-func (m *Membership) Beat() { m.beat(time.Now(), true) }
+// Beat sends a heartbeat to all entries at once, for changes that callers wait for.
+func (m *Membership) Beat() { m.sendDue(time.Now(), true) }
 
-func (m *Membership) declare(s State) {
+func (m *Membership) declareState(s State) {
 	now := time.Now()
 	m.mu.Lock()
 	m.detector.Declare(now, s)
 	m.publish()
 	m.mu.Unlock()
-	m.beat(now, true)
+	m.sendDue(now, true)
 }
 
-// Loads returns the loads of this entry's and all serving entries' targets.
+// Loads returns the loads of the targets that this entry and all serving entries hold.
 func (m *Membership) Loads() []job.HolderLoad {
 	aged := m.AgedLoads()
 	list := make([]job.HolderLoad, len(aged))
@@ -437,12 +439,12 @@
 	return list
 }
 
-// AgedLoads returns the loads with the age of each.
+// AgedLoads returns the same loads as Loads, each with its age.
 func (m *Membership) AgedLoads() []Load {
 	now := time.Now()
 	var list []Load
 	if m.view.Load().Self.Serving() {
-		for _, l := range m.own() {
+		for _, l := range m.ownLoads() {
 			list = append(list, Load{HolderLoad: l})
 		}
 	}
@@ -460,7 +462,7 @@
 	return list
 }
 
-func (m *Membership) own() []job.HolderLoad {
+func (m *Membership) ownLoads() []job.HolderLoad {
 	list := m.opts.Loads()
 	self := m.opts.Mesh.Self()
 	for i := range list {
@@ -469,13 +471,13 @@
 	return list
 }
 
-// handle takes a heartbeat.
-func (m *Membership) handle(_ context.Context, from job.Owner, body cbor.RawMessage) (any, error) {
-	var stamped stampedBeat
+// handleHeartbeat processes a received heartbeat.
+func (m *Membership) handleHeartbeat(_ context.Context, from job.Owner, body cbor.RawMessage) (any, error) {
+	var stamped stampedHeartbeat
 	if err := cbor.Unmarshal(body, &stamped); err != nil {
 		return nil, errors.Annotate(err, "decoding a heartbeat")
 	}
-	var b beat
+	var b heartbeat
 	if err := cbor.Unmarshal(stamped.Beat, &b); err != nil {
 		return nil, errors.Annotate(err, "decoding a heartbeat")
 	}
@@ -487,24 +489,24 @@
 		b.Loads[i].Entry, b.Loads[i].Zone = from.Entry, from.Zone
 	}
 	m.mu.Lock()
-	heard := m.detector.Hear(now, from, b.State, b.Revision)
-	wronged := m.takeHearing(from, heard)
-	m.loads[from.Entry] = loads{now, b.Loads}
-	came := m.relay(now, b.Loads, b.Relayed)
-	m.configs[from.Entry] = b.ConfigNumber
+	result := m.detector.Hear(now, from, b.State, b.Revision)
+	refutable := m.applyHearing(from, result)
+	m.loads[from.Entry] = loadReport{now, b.Loads}
+	received := m.recordLoads(now, b.Loads, b.Relayed)
+	m.configNumbers[from.Entry] = b.ConfigNumber
 	if b.Want != Unwatched {
-		m.wants[from.Entry] = want{b.Want, now.Add(wantHold * wantedPeriod(b.Want))}
+		m.requests[from.Entry] = heartbeatRequest{b.Want, now.Add(requestPeriods * requestedPeriod(b.Want))}
 	}
-	compare := m.compare(now, from.Entry, b.Digest)
-	m.learn(from.Entry, from.Incarnation, stamped.Reading)
+	compare := m.shouldCompare(now, from.Entry, b.Digest)
+	m.recordReading(from.Entry, from.Incarnation, stamped.Reading)
 	m.publish()
 	m.mu.Unlock()
-	m.tell(heard.Changes)
-	if wronged != nil {
-		m.sendBack(*wronged)
+	m.reportChanges(result.Changes)
+	if refutable != nil {
+		m.requestRefutation(*refutable)
 	}
-	if m.opts.Loaded != nil && len(came) > 0 {
-		m.opts.Loaded(came)
+	if m.opts.Loaded != nil && len(received) > 0 {
+		m.opts.Loaded(received)
 	}
 	if compare && m.opts.Compare != nil {
 		m.opts.Compare(from.Entry)
@@ -518,20 +520,20 @@
 	return nil, nil
 }
 
-func wantedPeriod(p Pace) time.Duration {
+func requestedPeriod(p Pace) time.Duration {
 	if p == Close {
 		return InZone.Period
 	}
 	return AcrossZones.Period
 }
 
-// relay notes the loads that came with a heartbeat and returns them with their age. A
-// relayed one counts unless its holder has said something later itself. The caller holds
-// the lock.
-func (m *Membership) relay(now time.Time, own []job.HolderLoad, relayed []relayedLoad) []Load {
-	came := make([]Load, 0, len(own)+len(relayed))
+// recordLoads records the loads in a heartbeat and returns them with their age. A relayed
+// load counts only if it is newer than the last report from or about its holder. The caller
+// holds the lock.
+func (m *Membership) recordLoads(now time.Time, own []job.HolderLoad, relayed []relayedLoad) []Load {
+	received := make([]Load, 0, len(own)+len(relayed))
 	for _, l := range own {
-		came = append(came, Load{HolderLoad: l})
+		received = append(received, Load{HolderLoad: l})
 	}
 	for _, r := range relayed {
 		if len(r.Loads) == 0 {
@@ -542,10 +544,10 @@
 		if holder == m.opts.Mesh.Self().Entry || !at.After(m.loads[holder].at) {
 			continue
 		}
-		m.loads[holder] = loads{at, r.Loads}
+		m.loads[holder] = loadReport{at, r.Loads}
 		for _, l := range r.Loads {
-			came = append(came, Load{HolderLoad: l, Age: age})
+			received = append(received, Load{HolderLoad: l, Age: age})
 		}
 	}
-	return came
+	return received
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -38,13 +38,13 @@
 	return f
 }
 
-func (f *fleet) start(id job.EntryID, life job.Incarnation) {
+func (f *fleet) start(id job.EntryID, incarnation job.Incarnation) {
 	var peers []Peer
 	for other, zone := range zones {
 		peers = append(peers, Peer{Entry: other, Zone: zone})
 	}
 	m := New(Options{
-		Mesh: f.net.Join(job.Owner{Entry: id, Incarnation: life, Zone: zones[id]}), Peers: peers,
+		Mesh: f.net.Join(job.Owner{Entry: id, Incarnation: incarnation, Zone: zones[id]}), Peers: peers,
 		Loads: func() []job.HolderLoad { return []job.HolderLoad{{Pool: "p", Slots: 8}} },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -92,9 +92,9 @@
 	})
 }
 
-// An entry's VM dies without a word. The others must suspect it first, take it
-// out within seconds so that its targets are served again, and recognise its
-// next life as another one.
+// Guards against a VM that dies without notice: the others must suspect its entry first,
+// declare it dead within seconds so that its targets are served again, and recognise its next
+// incarnation as a different one.
 func TestDeathAndReturn(t *testing.T) {
 	run(t, func(f *fleet) {
 		qt.Assert(t, f.views("b", "a", "c", "d"), qt.Equals, "alive alive alive ")
@@ -114,10 +114,10 @@
 	})
 }
 
-// The way between two entries breaks while both reach the third. Were one of
-// them declared dead by the other, its targets would get a second holder and
-// twice their slots would be filled; so both stay in everybody's view.
-func TestBrokenWayKillsNobody(t *testing.T) {
+// The link between two entries breaks while both reach the third. If one declared the other
+// dead, its targets would get a second holder and twice their slots would be filled, so both
+// must stay in every entry's view.
+func TestBrokenLinkDeclaresNoneDead(t *testing.T) {
 	run(t, func(f *fleet) {
 		before := map[job.TargetID]job.EntryID{}
 		for i := range 50 {
@@ -137,10 +137,10 @@
 	})
 }
 
-// One entry is cut off from all others for long, as a VM with a broken switch
-// port. It must know that it is likely the one cut off, and be the same life as
-// before when the cut heals.
-func TestCutOffEntryKnowsItAndReturns(t *testing.T) {
+// One entry is partitioned from all others for long, such as a VM with a broken switch port.
+// It must detect that it is likely the partitioned one, and continue in the same incarnation
+// when the partition heals.
+func TestPartitionedEntryIsIsolatedAndRejoins(t *testing.T) {
 	run(t, func(f *fleet) {
 		for _, other := range []job.EntryID{"b", "c", "d"} {
 			f.net.CutBoth("a", other, true)
@@ -159,10 +159,10 @@
 	})
 }
 
-// A zone has a single entry and is cut off from all others for long. Nobody
-// else can serve its callers and targets; if it took itself for the one that is
-// lost, they would all be refused until the link is back.
-func TestOnlyEntryOfZoneGoesOnWhenCutOff(t *testing.T) {
+// The only entry of a zone is partitioned from all others for long. No other entry can serve
+// its callers and targets; if it considered itself isolated, all of them would be refused
+// until the link is back.
+func TestOnlyEntryOfZoneIsNotIsolated(t *testing.T) {
 	run(t, func(f *fleet) {
 		for _, other := range []job.EntryID{"a", "b", "c"} {
 			f.net.CutBoth("d", other, true)
@@ -173,9 +173,8 @@
 	})
 }
 
-// An entry is stopped as planned. From the first moment it may not be given
-// targets, yet while it finishes its work it is no dead owner; after its last
-// word nobody waits for it.
+// An entry is stopped as planned. It must not get targets from the first moment, yet it isn't
+// a dead owner while it finishes its work; after it has left, no entry waits for it.
 func TestDrainThenLeave(t *testing.T) {
 	run(t, func(f *fleet) {
 		var views []State
@@ -197,47 +196,48 @@
 	})
 }
 
-// Heartbeats of a process that has been replaced arrive late. They must not
-// bring its life back, and lost heartbeats alone must move nothing.
+// Heartbeats of a process that has been replaced arrive late. They must not revive its
+// incarnation, and lost heartbeats alone must move nothing.
 func TestLateAndLostHeartbeats(t *testing.T) {
 	now := time.Unix(1000, 0)
 	nobody := func(job.EntryID) bool { return false }
 	d := NewDetector(now, job.Owner{Entry: "a", Incarnation: 1, Zone: "z"}, []Peer{{Entry: "b", Zone: "z"}, {Entry: "c", Zone: "z"}})
-	life := func(n job.Incarnation) job.Owner { return job.Owner{Entry: "b", Incarnation: n, Zone: "z"} }
+	owner := func(n job.Incarnation) job.Owner { return job.Owner{Entry: "b", Incarnation: n, Zone: "z"} }
 	other := job.Owner{Entry: "c", Zone: "z", Incarnation: 1}
-	d.Hear(now, life(5), Alive, 0)
-	qt.Assert(t, d.Hear(now, life(4), Alive, 0).Changes, qt.HasLen, 0)
-	qt.Assert(t, d.Vouch(now, "c", life(4)), qt.HasLen, 0)
+	d.Hear(now, owner(5), Alive, 0)
+	qt.Assert(t, d.Hear(now, owner(4), Alive, 0).Changes, qt.HasLen, 0)
+	qt.Assert(t, d.Vouch(now, "c", owner(4)), qt.HasLen, 0)
 	qt.Assert(t, d.Hear(now, other, Alive, 0).Changes, qt.HasLen, 1)
 	for range 40 { // three of four heartbeats are lost
 		now = now.Add(InZone.SuspectAfter)
-		qt.Assert(t, d.Hear(now, life(5), Alive, 0).Changes, qt.HasLen, 0)
+		qt.Assert(t, d.Hear(now, owner(5), Alive, 0).Changes, qt.HasLen, 0)
 		d.Hear(now, other, Alive, 0)
 		qt.Assert(t, d.Tick(now, nobody), qt.HasLen, 0)
 	}
 	now = now.Add(refusedAfter + 1)
 	refusedB := func(id job.EntryID) bool { return id == "b" }
-	// A proxy may refuse on the way while the entry runs: who hears it decides.
+	// A proxy on the path may refuse connections while the entry runs: entries that hear it
+	// decide.
 	qt.Assert(t, d.Doubtful(now, refusedB), qt.HasLen, 1)
 	qt.Assert(t, d.Tick(now, refusedB), qt.HasLen, 0)
-	d.Vouch(now, "c", life(5))
+	d.Vouch(now, "c", owner(5))
 	d.Asked(now, "b")
 	qt.Assert(t, d.Tick(now, refusedB), qt.HasLen, 0)
-	now = now.Add(vouchHold + 1)
+	now = now.Add(vouchValidity + 1)
 	d.Hear(now, other, Alive, 0)
 	d.Asked(now, "b")
 	changes := slices.DeleteFunc(d.Tick(now, refusedB), func(c Change) bool { return c.After.State == Suspect })
 	qt.Assert(t, changes, qt.HasLen, 1)
 	qt.Assert(t, changes[0].After.State, qt.Equals, Dead)
-	d.Hear(now, life(5), Left, 0)
-	d.Hear(now, life(5), Alive, 0)
+	d.Hear(now, owner(5), Left, 0)
+	d.Hear(now, owner(5), Alive, 0)
 	m, _ := d.Members(nobody).Get("b")
 	qt.Assert(t, m.State, qt.Equals, Left)
 }
 
-// When one entry of a zone is gone, only what it held may move: moving more
-// would close connections and idle slots all over the zone.
-func TestOneLossMovesOnlyItsOwn(t *testing.T) {
+// When one entry of a zone is gone, only its targets may move: moving others would close
+// connections and leave slots idle all over the zone.
+func TestDeadEntryMovesOnlyItsTargets(t *testing.T) {
 	members := &Members{}
 	for _, id := range []job.EntryID{"a", "b", "c", "d", "e"} {
 		members.List = append(members.List, Member{Entry: id, Zone: "z", State: Alive})
@@ -259,8 +259,8 @@
 	qt.Assert(t, members.Holder("other zone", "t"), qt.Equals, job.EntryID(""))
 }
 
-// Control traffic is bounded by the users' figure of 6 KB a second for each
-// daemon. Seven entries in one zone is the dearest layout of today's fleets.
+// Control traffic is bounded by the users' limit of 6 KB a second for each daemon. Seven
+// entries in one zone is the most expensive layout of today's fleets.
 func TestHeartbeatsStayInBudget(t *testing.T) {
 	const budget = 6000
 	entries, beats := 7, 4
@@ -275,7 +275,7 @@
 			return []job.HolderLoad{l}
 		},
 	})
-	size := encodedSize(t, m.compose())
+	size := encodedSize(t, m.composeHeartbeat())
 	sent := size * beats * (entries - 1)
 	t.Logf("heartbeats of %d bytes, %d bytes a second sent", size, sent)
 	qt.Assert(t, sent < budget, qt.IsTrue, qt.Commentf("%d bytes a second", sent))
--- a/internal/membership/pace_test.go
+++ b/internal/membership/pace_test.go
@@ -14,8 +14,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// amongOthers returns the membership of one entry among so many others of three zones.
-func amongOthers(others int, busy ...job.EntryID) *Membership {
+// newAmongOthers returns the membership of an entry with the given number of other entries in
+// three zones.
+func newAmongOthers(others int, busy ...job.EntryID) *Membership {
 	var peers []Peer
 	for i := range others {
 		peers = append(peers, Peer{Entry: job.EntryID(fmt.Sprintf("e-%03d", i)), Zone: job.Zone(fmt.Sprint("z", i%3)), Incarnation: 1})
@@ -26,27 +27,27 @@
 	})
 }
 
-// look has the entry choose whom it watches, and returns the heartbeats that are due.
-func look(m *Membership, now time.Time) []due {
-	m.rewatchNow(now)
-	b := m.compose()
+// heartbeatsDue updates the watched entries and returns the heartbeats that are due.
+func heartbeatsDue(m *Membership, now time.Time) []dueHeartbeat {
+	m.refreshWatched(now)
+	b := m.composeHeartbeat()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.due(now, &b, false)
+	return m.collectDue(now, &b, false)
 }
 
-// Guards against heartbeats that grow with the fleet, and against those to an entry that
-// shares work which do not come as often as its right to act needs them.
+// Guards against heartbeats that grow with the fleet, and against heartbeats to an entry that
+// shares work which are less frequent than its right to act requires.
 func TestHeartbeatsOfALargeFleetAreBounded(t *testing.T) {
-	const seconds, most = 30, 30 // heartbeats a second, two busy entries included
+	const seconds, limit = 30, 30 // heartbeats a second, two busy entries included
 	for _, others := range []int{watch.Everybody + 1, 151, 300, 999} {
 		now := time.Now()
-		m := amongOthers(others, "e-007", "e-013")
+		m := newAmongOthers(others, "e-007", "e-013")
 		last := map[job.EntryID]time.Time{}
 		longest := map[job.EntryID]time.Duration{}
 		sent := 0
 		for end := now.Add(seconds * time.Second); now.Before(end); now = now.Add(InZone.Period) {
-			for _, d := range look(m, now) {
+			for _, d := range heartbeatsDue(m, now) {
 				if before, ok := last[d.to]; ok {
 					longest[d.to] = max(longest[d.to], now.Sub(before))
 				}
@@ -54,20 +55,20 @@
 				sent++
 			}
 		}
-		qt.Check(t, sent <= seconds*most, qt.IsTrue, qt.Commentf("%d others: %d heartbeats", others, sent))
-		for _, id := range append(m.set.Ring, "e-007", "e-013") {
+		qt.Check(t, sent <= seconds*limit, qt.IsTrue, qt.Commentf("%d others: %d heartbeats", others, sent))
+		for _, id := range append(m.watchSet.Ring, "e-007", "e-013") {
 			qt.Check(t, longest[id], qt.Equals, InZone.Period, qt.Commentf("%s", id))
 		}
 	}
 }
 
-// Guards against a fleet of today's size that notices its deaths later since it grew by a
-// few entries.
+// Guards against a fleet of today's size that detects deaths later because a few entries were
+// added.
 func TestSmallFleetsKeepTheFullPace(t *testing.T) {
 	now := time.Now()
-	m := amongOthers(watch.Everybody)
+	m := newAmongOthers(watch.Everybody)
 	for range 8 {
-		qt.Assert(t, look(m, now), qt.HasLen, watch.Everybody)
+		qt.Assert(t, heartbeatsDue(m, now), qt.HasLen, watch.Everybody)
 		now = now.Add(InZone.Period)
 	}
 	for _, p := range m.detector.peers {
@@ -75,18 +76,18 @@
 	}
 }
 
-// Guards against a lost voter that a large fleet notices later than its place must be filled.
-func TestDisksOfALargeFleetWatchEachOtherClosely(t *testing.T) {
+// Guards against a lost voter that a large fleet detects too late to replace it in time.
+func TestDiskEntriesOfALargeFleetWatchEachOtherClosely(t *testing.T) {
 	const seconds = 10
 	now := time.Now()
-	m := amongOthers(300)
+	m := newAmongOthers(300)
 	disks := []job.EntryID{"e-010", "e-011", "e-012", "e-013"}
 	for _, e := range append(disks, "self") {
 		m.Add(Peer{Entry: e, Reserve: true})
 	}
 	sent := map[job.EntryID]int{}
 	for end := now.Add(seconds * time.Second); now.Before(end); now = now.Add(InZone.Period) {
-		for _, d := range look(m, now) {
+		for _, d := range heartbeatsDue(m, now) {
 			sent[d.to]++
 		}
 		for _, e := range append(disks, "e-020") {
@@ -103,15 +104,15 @@
 	qt.Check(t, m.detector.peer("e-020").State, qt.Equals, Alive)
 }
 
-// Guards against work that is stopped as that of a silent owner, since the owner that hands
-// it over sends no heartbeats here.
+// Guards against work that is stopped because its owner, which hands it over but sends no
+// heartbeats here, counts as unresponsive.
 func TestHandedOverWorkIsASignOfLife(t *testing.T) {
-	m := amongOthers(300)
+	m := newAmongOthers(300)
 	owner := job.Owner{Entry: "e-001", Incarnation: 5, Zone: "z1"}
 	m.opts.Log, m.opts.Events = discard()
 	m.Touch(owner)
 	qt.Assert(t, m.Silent(owner.Entry, owner.Incarnation) < time.Second, qt.IsTrue)
-	m.detector.peer(owner.Entry).heard = time.Now().Add(-time.Hour)
+	m.detector.peer(owner.Entry).lastHeard = time.Now().Add(-time.Hour)
 	m.Touch(owner)
 	qt.Assert(t, m.Silent(owner.Entry, owner.Incarnation) < time.Second, qt.IsTrue)
 
--- a/internal/membership/proof.go
+++ b/internal/membership/proof.go
@@ -10,91 +10,92 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 )
 
-// A heartbeat proves that its sender was alive when it was sent, and not when it is read:
-// in between it may have been under way for long, or have lain unread while this entry
-// stood still. So each heartbeat carries a reading of its sender's clock, and sends back
-// the last reading that its sender has of the other one. What comes back was made before
-// the other entry sent it, by the clock of the entry that reads it: that is when the other
-// one was alive for certain, however old the message is.
+// A heartbeat proves that its sender was alive when it was sent, not when it is read: it may
+// have been in transit for long, or unread while this entry was paused. Each heartbeat
+// therefore carries a clock reading of its sender and echoes the last clock reading that the
+// sender has received from the receiver. The receiver made the echoed reading by its own
+// clock before the sender sent the heartbeat. The sender was thus alive at the time of that
+// reading, however old the message is.
 
-// stampedBeat is the message of peer.Heartbeat.
-type stampedBeat struct {
+// stampedHeartbeat is the message of peer.Heartbeat.
+type stampedHeartbeat struct {
 	_    struct{} `cbor:",toarray"`
 	Beat cbor.RawMessage
-	// Reading is of the sender's clock; Echo is the last one that the sender has of the
-	// receiver's, from the receiver's life Life.
+	// Reading is of the sender's clock. Echo is the last reading of the receiver's clock that
+	// the sender has; it was made by the receiver's incarnation Life.
 	Reading awake.Reading
 	Life    job.Incarnation
 	Echo    awake.Reading
 }
 
-// reading is the last reading of an entry's clock.
-type reading struct {
-	life job.Incarnation
-	at   awake.Reading
+// clockReading is the last reading received of an entry's clock.
+type clockReading struct {
+	incarnation job.Incarnation
+	at          awake.Reading
 }
 
-// stamp makes the heartbeat for one entry.
-func (m *Membership) stamp(to job.EntryID, body cbor.RawMessage) stampedBeat {
+// stamp adds the clock readings for one receiver to a heartbeat.
+func (m *Membership) stamp(to job.EntryID, body cbor.RawMessage) stampedHeartbeat {
 	now := m.opts.Now()
-	speaks := m.opts.Speaks == nil || m.opts.Speaks(to)
+	mayProve := m.opts.Speaks == nil || m.opts.Speaks(to)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	last := m.readings[to]
-	if !speaks {
-		last = reading{}
+	if !mayProve {
+		last = clockReading{}
 	}
-	return stampedBeat{Beat: body, Reading: m.ruler.Reading(now), Life: last.life, Echo: last.at}
+	return stampedHeartbeat{Beat: body, Reading: m.ruler.Reading(now), Life: last.incarnation, Echo: last.at}
 }
 
-// learn takes a reading of another entry; the caller holds the lock.
-func (m *Membership) learn(from job.EntryID, life job.Incarnation, at awake.Reading) {
+// recordReading records another entry's clock reading if it is the latest. The caller holds
+// the lock.
+func (m *Membership) recordReading(from job.EntryID, incarnation job.Incarnation, at awake.Reading) {
 	last := m.readings[from]
-	if life > last.life || life == last.life && at > last.at {
-		m.readings[from] = reading{life, at}
+	if incarnation > last.incarnation || incarnation == last.incarnation && at > last.at {
+		m.readings[from] = clockReading{incarnation, at}
 	}
 }
 
-// Learn takes a reading that came with another message than a heartbeat.
-func (m *Membership) Learn(from job.EntryID, life job.Incarnation, at awake.Reading) {
+// Learn records a clock reading that arrived in a message other than a heartbeat.
+func (m *Membership) Learn(from job.EntryID, incarnation job.Incarnation, at awake.Reading) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.learn(from, life, at)
+	m.recordReading(from, incarnation, at)
 }
 
-// Reading returns this entry's clock for others to send back.
+// Reading returns a reading of this entry's clock, which other entries echo.
 func (m *Membership) Reading() awake.Reading { return m.ruler.Reading(m.opts.Now()) }
 
-// Last returns the last reading of a life of an entry; zero where there is none.
-func (m *Membership) Last(of job.EntryID, life job.Incarnation) awake.Reading {
+// Last returns the last clock reading received from an incarnation, or zero if there is none.
+func (m *Membership) Last(of job.EntryID, incarnation job.Incarnation) awake.Reading {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if last := m.readings[of]; last.life == life {
+	if last := m.readings[of]; last.incarnation == incarnation {
 		return last.at
 	}
 	return 0
 }
 
-// Proof returns the time of a reading that came back, by the clock of Options.Now. It
-// reports false for a reading that this life of the entry did not make.
-func (m *Membership) Proof(life job.Incarnation, at awake.Reading) (time.Time, bool) {
-	if at == 0 || life != m.opts.Mesh.Self().Incarnation {
+// Proof returns the time of an echoed reading by the clock of Options.Now. It reports false
+// for a reading that this incarnation didn't make.
+func (m *Membership) Proof(incarnation job.Incarnation, at awake.Reading) (time.Time, bool) {
+	if at == 0 || incarnation != m.opts.Mesh.Self().Incarnation {
 		return time.Time{}, false
 	}
 	return m.ruler.Time(at), true
 }
 
-// Greet sends a heartbeat to an entry whose link has just come up. Its right to act for this
-// entry, and the reverse, rest on proofs that age while the link is down: the next ordinary
-// heartbeat may be a period away.
+// Greet sends a heartbeat to an entry whose link has just come up. The right of either entry
+// to act for the other depends on proofs that age while the link is down, and the next
+// regular heartbeat may be a whole period away.
 func (m *Membership) Greet(to job.EntryID) {
-	b := m.compose()
+	b := m.composeHeartbeat()
 	b.Relayed = nil
-	brief, err := cbor.Marshal(b)
+	body, err := cbor.Marshal(b)
 	if err != nil {
 		m.opts.Log.Error("heartbeat not encoded", "error", err)
 		return
 	}
-	// The link may be gone again; then the next one is greeted.
-	_ = m.opts.Mesh.Send(to, peer.Heartbeat, m.stamp(to, brief))
+	// The link may be down again; Greet is then called for the next one.
+	_ = m.opts.Mesh.Send(to, peer.Heartbeat, m.stamp(to, body))
 }
--- a/internal/membership/race_off_test.go
+++ b/internal/membership/race_off_test.go
@@ -2,5 +2,5 @@
 
 package membership
 
-// raceDetector says that the tests run with the race detector.
+// raceDetector reports whether the tests run with the race detector.
 const raceDetector = false
--- a/internal/membership/race_on_test.go
+++ b/internal/membership/race_on_test.go
@@ -2,6 +2,6 @@
 
 package membership
 
-// raceDetector says that the tests run with the race detector, which bounds the goroutines
-// of one test.
+// raceDetector reports whether the tests run with the race detector, which limits the number
+// of goroutines in one test.
 const raceDetector = true
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -11,13 +11,13 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 )
 
-// In a large fleet each entry watches a few others; what it finds is told to the rest by
-// updates, which each entry passes on to its neighbours once. An update is ordered by the
-// life and, within it, by a revision that only the entry itself raises: each time it says
-// something new of itself, and to refute the word of its death. So an old update that went
-// a long way round changes nothing.
+// In a large fleet each entry watches a few others and reports what it detects to the rest by
+// updates, which each entry forwards to its neighbours once. Updates are ordered by
+// incarnation and, within an incarnation, by a revision. Only the entry itself raises its
+// revision: each time it announces a new state, and to refute a report of its death. An old
+// update that arrives late over a long path therefore changes nothing.
 
-// Update is the state of one life of an entry as somebody tells it.
+// Update is the state of one incarnation of an entry as another entry reports it.
 type Update struct {
 	_           struct{} `cbor:",toarray"`
 	Entry       job.EntryID
@@ -26,8 +26,9 @@
 	Revision    uint32
 }
 
-// weight orders what may be said of one revision: whoever is declared dead has to raise it.
-func (s State) weight() int {
+// precedence orders the states that may be reported under one revision. An entry that is
+// declared dead has to raise its revision to refute it.
+func (s State) precedence() int {
 	switch s {
 	case Draining:
 		return 1
@@ -39,7 +40,7 @@
 	return 0
 }
 
-// supersedes reports whether an update is news beside what is known.
+// supersedes reports whether an update is newer than the known state.
 func (u *Update) supersedes(p *peerState) bool {
 	switch {
 	case u.Incarnation != p.Incarnation:
@@ -49,21 +50,22 @@
 	case u.Revision != p.revision:
 		return u.Revision > p.revision
 	}
-	return u.State.weight() > p.State.weight()
+	return u.State.precedence() > p.State.precedence()
 }
 
-// Taking is what an update brought.
+// Taking is the result of applying an update.
 type Taking struct {
 	Changes []Change
-	// News says that it is to be passed on.
+	// News is set if the update is to be forwarded.
 	News bool
-	// Doubted says that this entry hears whom the update calls dead, who is to refute it.
+	// Doubted is set if this entry hears the entry that the update reports dead. That entry has
+	// to refute the update.
 	Doubted bool
-	// Refute says that this entry was called dead, and has raised its revision.
+	// Refute is set if the update reports this entry dead. This entry has raised its revision.
 	Refute bool
 }
 
-// Take takes what others tell of an entry.
+// Take applies another entry's update.
 func (d *Detector) Take(now time.Time, u Update) Taking {
 	if u.Entry == d.self.Entry {
 		return Taking{Refute: d.refute(u)}
@@ -73,31 +75,31 @@
 		return Taking{}
 	}
 	same := u.Incarnation == p.Incarnation
-	if u.State == Dead && same && p.hears(now) {
+	if u.State == Dead && same && p.canVouch(now) {
 		return Taking{Doubted: true}
 	}
 	if !same {
-		p.met, p.judged = false, false
+		p.everHeard, p.declaredDead = false, false
 	}
-	if p.judged && u.State != Dead {
-		p.judged = false
-		p.vouched = now.Add(refutedHold - vouchHold)
+	if p.declaredDead && u.State != Dead {
+		p.declaredDead = false
+		p.lastVouch = now.Add(refutedGrace - vouchValidity)
 	}
 	p.revision = u.Revision
-	return Taking{News: true, Changes: d.set(p, now, u.State, u.Incarnation, "told by others", nil)}
+	return Taking{News: true, Changes: d.setState(p, now, u.State, u.Incarnation, "reported by another entry", nil)}
 }
 
-// refute raises this entry's revision above the word of its death.
+// refute raises this entry's revision above that of a report of its death.
 func (d *Detector) refute(u Update) bool {
-	wrong := u.Incarnation == d.self.Incarnation && u.State == Dead && u.Revision >= d.revision && d.self.State != Left
-	if wrong {
+	mustRefute := u.Incarnation == d.self.Incarnation && u.State == Dead && u.Revision >= d.revision && d.self.State != Left
+	if mustRefute {
 		d.revision = u.Revision + 1
 	}
-	return wrong
+	return mustRefute
 }
 
-// update returns what is known of an entry, as it is told to others. Suspicion is this
-// entry's own and not told.
+// update returns the known state of an entry in the form that is sent to others. A suspicion
+// is local to this entry and isn't sent.
 func (d *Detector) update(id job.EntryID) (Update, bool) {
 	if id == d.self.Entry {
 		return Update{Entry: id, Incarnation: d.self.Incarnation, State: d.self.State, Revision: d.revision}, true
@@ -113,29 +115,30 @@
 	return Update{Entry: id, Incarnation: p.Incarnation, State: state, Revision: p.revision}, true
 }
 
-// spreadDelay joins updates that come at once into one message to each neighbour.
-const spreadDelay = 20 * time.Millisecond
+// updateDelay combines updates that arrive together into one message to each neighbour.
+const updateDelay = 20 * time.Millisecond
 
-// spread tells the neighbours of what is news of some entries, soon. In a small fleet
-// everybody hears it from the entries themselves. The caller holds the lock.
-func (m *Membership) spread(ids ...job.EntryID) {
-	if m.set.All || len(ids) == 0 {
+// queueUpdates queues the state of some entries to be sent to the neighbours after
+// updateDelay. In a small fleet all entries receive it from the entries themselves. The
+// caller holds the lock.
+func (m *Membership) queueUpdates(ids ...job.EntryID) {
+	if m.watchSet.All || len(ids) == 0 {
 		return
 	}
-	first := len(m.unspread) == 0
+	first := len(m.pendingUpdates) == 0
 	for _, id := range ids {
-		m.unspread[id] = true
+		m.pendingUpdates[id] = true
 	}
 	if first {
-		time.AfterFunc(spreadDelay, m.sendUpdates)
+		time.AfterFunc(updateDelay, m.sendUpdates)
 	}
 }
 
-// spreadChanges spreads those changes that others can't see by themselves.
-func (m *Membership) spreadChanges(changes []Change) {
+// queueDeaths queues the deaths among changes, which other entries may not detect themselves.
+func (m *Membership) queueDeaths(changes []Change) {
 	for _, c := range changes {
 		if c.After.State == Dead {
-			m.spread(c.After.Entry)
+			m.queueUpdates(c.After.Entry)
 		}
 	}
 }
@@ -143,35 +146,35 @@
 func (m *Membership) sendUpdates() {
 	m.mu.Lock()
 	var updates []Update
-	for id := range m.unspread {
+	for id := range m.pendingUpdates {
 		if u, ok := m.detector.update(id); ok {
 			updates = append(updates, u)
 		}
 	}
-	clear(m.unspread)
-	near := m.near()
+	clear(m.pendingUpdates)
+	receivers := m.neighbours()
 	m.mu.Unlock()
 	body, err := cbor.Marshal(updates)
 	if err != nil {
 		m.opts.Log.Error("updates of members not encoded", "error", err)
 		return
 	}
-	for _, to := range near {
-		// A link that is down misses them; the comparison of digests repairs it.
+	for _, to := range receivers {
+		// A link that is down loses them; the comparison of digests repairs that.
 		_ = m.opts.Mesh.Send(to, peer.MemberUpdates, cbor.RawMessage(body))
 	}
 }
 
-// Near lists the entries to which news are passed on: in a small fleet all.
+// Near lists the entries to which updates are forwarded; in a small fleet all entries.
 func (m *Membership) Near() []job.EntryID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.near()
+	return m.neighbours()
 }
 
-func (m *Membership) near() []job.EntryID {
+func (m *Membership) neighbours() []job.EntryID {
 	var out []job.EntryID
-	if m.set.All {
+	if m.watchSet.All {
 		for _, p := range m.detector.peers {
 			out = append(out, p.Entry)
 		}
@@ -180,7 +183,7 @@
 	for _, p := range m.detector.watched {
 		out = append(out, p.Entry)
 	}
-	for id := range m.wants {
+	for id := range m.requests {
 		if p := m.detector.peer(id); p != nil && p.pace == Unwatched {
 			out = append(out, id)
 		}
@@ -197,7 +200,7 @@
 	return nil, nil
 }
 
-// TakeUpdates takes what others tell of entries, by whatever way it came.
+// TakeUpdates applies updates of other entries, whichever message carried them.
 func (m *Membership) TakeUpdates(updates []Update) {
 	now := time.Now()
 	var changes []Change
@@ -205,32 +208,32 @@
 	refute := false
 	m.mu.Lock()
 	for _, u := range updates {
-		taken := m.detector.Take(now, u)
-		changes = append(changes, taken.Changes...)
-		if taken.News {
-			m.spread(u.Entry)
+		result := m.detector.Take(now, u)
+		changes = append(changes, result.Changes...)
+		if result.News {
+			m.queueUpdates(u.Entry)
 		}
-		if taken.Doubted {
+		if result.Doubted {
 			doubted = append(doubted, u)
 		}
-		refute = refute || taken.Refute
+		refute = refute || result.Refute
 	}
 	if refute {
-		m.spread(m.detector.self.Entry)
+		m.queueUpdates(m.detector.self.Entry)
 	}
 	m.publish()
 	m.mu.Unlock()
-	m.tell(changes)
+	m.reportChanges(changes)
 	for _, u := range doubted {
-		m.sendBack(u)
+		m.requestRefutation(u)
 	}
 	if refute {
-		m.opts.Log.Info("called dead by others, and says that it is not", "entry", m.opts.Mesh.Self().Entry)
-		m.beat(now, true)
+		m.opts.Log.Info("reported dead by other entries, refuting it", "entry", m.opts.Mesh.Self().Entry)
+		m.sendDue(now, true)
 	}
 }
 
-// sendBack tells an entry that it is called dead, so that it refutes that.
-func (m *Membership) sendBack(u Update) {
+// requestRefutation sends an entry the update that reports it dead, so that it refutes it.
+func (m *Membership) requestRefutation(u Update) {
 	_ = m.opts.Mesh.Send(u.Entry, peer.MemberUpdates, []Update{u})
 }
--- a/internal/membership/watched.go
+++ b/internal/membership/watched.go
@@ -8,39 +8,41 @@
 	"github.com/vanillagrade/vanillagrade/internal/policy/watch"
 )
 
-// want is the wish of another entry for this one's heartbeats.
-type want struct {
+// heartbeatRequest is another entry's request for heartbeats from this one.
+type heartbeatRequest struct {
 	pace  Pace
 	until time.Time
 }
 
-// wantHold is for how many periods a wish holds, so that one that was lost changes nothing.
-const wantHold = 3
+// requestPeriods is how many heartbeat periods a request is valid for, so that the loss of a
+// single request has no effect.
+const requestPeriods = 3
 
-// rewatch chooses whom this entry watches from now on; the caller holds the lock. busy are
-// those with whom it shares work.
-func (m *Membership) rewatch(now time.Time, busy []job.EntryID) {
-	if m.chosenAt != m.detector.version {
-		m.choose()
+// updateWatched updates the entries that this entry watches. busy lists those that share
+// work with it. The caller holds the lock.
+func (m *Membership) updateWatched(now time.Time, busy []job.EntryID) {
+	if m.chosenVersion != m.detector.version {
+		m.chooseWatchSet()
 	}
-	if m.set.All {
-		m.detector.Watch(now, m.everybody(), false)
+	if m.watchSet.All {
+		m.detector.Watch(now, m.allClose(), false)
 		return
 	}
-	m.detector.Watch(now, m.closeAndLoose(busy), true)
+	m.detector.Watch(now, m.sparsePaces(busy), true)
 }
 
-// choose makes the set of the watched anew after the fleet has changed.
-func (m *Membership) choose() {
+// chooseWatchSet recomputes the watch set and the entries of this zone after the fleet has
+// changed.
+func (m *Membership) chooseWatchSet() {
 	d := m.detector
-	m.set = watch.Choose(d.self.Entry, d.self.Zone, d.watchMembers())
+	m.watchSet = watch.Choose(d.self.Entry, d.self.Zone, d.watchMembers())
 	m.zoneMates = m.zoneMates[:0]
 	for _, p := range d.peers {
 		if p.Zone == d.self.Zone {
 			m.zoneMates = append(m.zoneMates, p)
 		}
 	}
-	m.chosenAt = d.version
+	m.chosenVersion = d.version
 }
 
 func (d *Detector) watchMembers() []watch.Member {
@@ -51,7 +53,7 @@
 	return out
 }
 
-func (m *Membership) everybody() map[job.EntryID]Pace {
+func (m *Membership) allClose() map[job.EntryID]Pace {
 	paces := map[job.EntryID]Pace{}
 	for _, p := range m.detector.peers {
 		paces[p.Entry] = Close
@@ -59,15 +61,16 @@
 	return paces
 }
 
-// closeAndLoose lists whom this entry watches in a large fleet. Work that two entries share
-// ends with the silence of either, and a lost voter has to be replaced within seconds, however
-// large the fleet: those are watched closely, as ring neighbours are.
-func (m *Membership) closeAndLoose(busy []job.EntryID) map[job.EntryID]Pace {
+// sparsePaces returns the paces of the entries that this entry watches in a large fleet.
+// Besides ring neighbours, it closely watches entries that share work with it, because that
+// work ends when either entry is unresponsive, and other voter candidates, because a lost
+// voter has to be replaced within seconds, however large the fleet is.
+func (m *Membership) sparsePaces(busy []job.EntryID) map[job.EntryID]Pace {
 	out := map[job.EntryID]Pace{}
-	for _, id := range m.set.Contacts {
+	for _, id := range m.watchSet.Contacts {
 		out[id] = Loose
 	}
-	for _, ids := range [][]job.EntryID{m.set.Ring, busy, m.otherDisks()} {
+	for _, ids := range [][]job.EntryID{m.watchSet.Ring, busy, m.otherDiskEntries()} {
 		for _, id := range ids {
 			out[id] = Close
 		}
@@ -75,16 +78,18 @@
 	return out
 }
 
-// holdsTargets reports whether an entry last said that it holds targets.
+// holdsTargets reports whether an entry held targets by its last load report.
 func (m *Membership) holdsTargets(id job.EntryID) bool {
 	return slices.ContainsFunc(m.loads[id].list, func(l job.HolderLoad) bool { return l.Targets > 0 })
 }
 
-// maxDisks bounds the entries with a disk that watch each other closely.
-const maxDisks = 16
+// maxDiskEntries is the maximum number of other entries with a disk for which these entries
+// watch each other closely.
+const maxDiskEntries = 16
 
-// otherDisks returns the other entries with a disk, if this one has one.
-func (m *Membership) otherDisks() []job.EntryID {
+// otherDiskEntries returns the other entries with a disk if this entry has one, or nil if
+// there are more than maxDiskEntries.
+func (m *Membership) otherDiskEntries() []job.EntryID {
 	if !m.detector.self.Reserve {
 		return nil
 	}
@@ -94,15 +99,15 @@
 			out = append(out, p.Entry)
 		}
 	}
-	if len(out) > maxDisks {
+	if len(out) > maxDiskEntries {
 		return nil
 	}
 	return out
 }
 
-// standing lists the entries to which links are kept up; nil stands for all.
-func (m *Membership) standing(now time.Time) []job.EntryID {
-	if m.set.All {
+// linksToKeep lists the entries to which links are kept up; nil means all.
+func (m *Membership) linksToKeep(now time.Time) []job.EntryID {
+	if m.watchSet.All {
 		return nil
 	}
 	out := []job.EntryID{}
@@ -113,45 +118,46 @@
 	return out
 }
 
-// receivers lists who gets heartbeats of this entry: in a large fleet those that it watches,
-// those that asked, and its whole zone while it holds targets.
+// receivers lists the entries that receive heartbeats or loads from this one. In a large
+// fleet these are the entries that it watches, those that requested heartbeats and, while it
+// holds targets, its whole zone.
 func (m *Membership) receivers(now time.Time) []*peerState {
-	if m.set.All {
+	if m.watchSet.All {
 		return m.detector.peers
 	}
 	out := slices.Clone(m.detector.watched)
-	for id, w := range m.wants {
+	for id, w := range m.requests {
 		if !w.until.After(now) {
-			delete(m.wants, id)
+			delete(m.requests, id)
 			continue
 		}
 		if p := m.detector.peer(id); p != nil && p.pace == Unwatched {
 			out = append(out, p)
 		}
 	}
-	if !m.holding {
+	if !m.holdsAny {
 		return out
 	}
 	for _, p := range m.zoneMates {
-		if p.pace == Unwatched && m.wants[p.Entry].pace == Unwatched && p.Live() {
+		if p.pace == Unwatched && m.requests[p.Entry].pace == Unwatched && p.Live() {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// Sparse reports whether this entry watches a part of the fleet only.
+// Sparse reports whether this entry watches only a part of the fleet.
 func (m *Membership) Sparse() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.set.All
+	return !m.watchSet.All
 }
 
-// lostBeats is after how many heartbeats that failed to come a link counts as broken.
-const lostBeats = 4
+// maxMissedHeartbeats is the number of missed heartbeats after which a link counts as broken.
+const maxMissedHeartbeats = 4
 
-// Expects returns within what time an entry is to send something, and since when; zero for
-// one that is not watched.
+// Expects returns the time within which an entry has to send something, and the time from
+// which that counts. Both are zero for an entry that isn't watched.
 func (m *Membership) Expects(id job.EntryID) (since time.Time, within time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -159,5 +165,5 @@
 	if p == nil || p.pace == Unwatched {
 		return time.Time{}, 0
 	}
-	return p.since, lostBeats * p.timingsOf().Period
+	return p.silenceStart, maxMissedHeartbeats * p.timingsOf().Period
 }
