--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,14 +1,13 @@
-// Package discovery lets entries find each other through seeds: a process is
-// told a few addresses at which other entries may listen, and learns from
-// whoever answers who else there is.
+// Package discovery lets entries find each other through seeds: a process is configured with
+// a few addresses at which other entries may listen, and learns from any that answers which
+// other entries exist.
 //
-// The load pattern is a fleet that starts all at once in any order, and later
-// single entries that come, move to another address or are replaced while
-// seeds are down or cut off. Without it every entry would have to be named in
-// every other one's settings. Two mechanisms carry it: an entry joins at each
-// seed until one answers, and what is new is told to every linked entry at
-// once. A slow exchange with one entry after the other repairs what both miss,
-// such as two halves that started apart.
+// A fleet may start all at once in any order; later, single entries join, change their
+// address or are replaced while seeds are down or unreachable. Without discovery, every entry
+// would have to be listed in the settings of every other one. An entry joins at each seed
+// until one answers, and sends new records to every linked entry at once. A slow exchange
+// with one entry after the other repairs what both mechanisms miss, such as two halves of a
+// fleet that started apart.
 package discovery
 
 import (
@@ -20,54 +19,56 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Record is what entries tell each other of one entry.
+// Record describes one entry to other entries.
 type Record struct {
 	Owner job.Owner `cbor:"1,keyasint"`
-	// Address is where it takes links, "IP:PORT".
+	// Address is where the entry accepts links, "IP:PORT".
 	Address string `cbor:"2,keyasint"`
-	// Disk says that it has a data folder and may vote.
+	// Disk is set if the entry has a data folder and may vote.
 	Disk bool `cbor:"3,keyasint,omitempty"`
-	// Carries is how many targets it can hold; zero where it does not say.
+	// Carries is how many targets the entry can hold; zero if it reports no limit.
 	Carries int `cbor:"4,keyasint,omitempty"`
-	// Heard says that the teller hears this life at present, Ended that it takes it for
-	// ended, by Revision. They are of the telling, and not kept in a book.
+	// Heard is set if the sender of the record currently hears this incarnation. Ended is set if
+	// the sender considers it ended, as of Revision. These three describe the sender's view and
+	// aren't stored in a Book.
 	Heard    bool   `cbor:"5,keyasint,omitempty"`
 	Ended    bool   `cbor:"6,keyasint,omitempty"`
 	Revision uint32 `cbor:"7,keyasint,omitempty"`
-	// Left says of an ended life that it ended as planned.
+	// Left is set for an ended incarnation whose stop was planned.
 	Left bool `cbor:"8,keyasint,omitempty"`
 }
 
-// forgottenFor is how long the news of a forgotten life are refused of those who do not
-// hear it. Others forget it within seconds of this entry, and would bring it back until
+// tombstoneTTL is how long records of a removed incarnation are rejected unless their sender
+// hears it. Other entries remove it within seconds of this one, and would bring it back until
 // then.
-const forgottenFor = 2 * time.Minute
+const tombstoneTTL = 2 * time.Minute
 
-// Book is what one entry knows of the others. It is safe for concurrent use and
+// Book is the registry of the entries that this one knows. It is safe for concurrent use and
 // reads no clock.
 type Book struct {
-	mu        sync.Mutex
-	self      Record
-	records   map[job.EntryID]Record
-	forgotten map[job.EntryID]departure
+	mu         sync.Mutex
+	self       Record
+	records    map[job.EntryID]Record
+	tombstones map[job.EntryID]tombstone
 }
 
-type departure struct {
-	life  job.Incarnation
-	until time.Time
+// tombstone marks an incarnation that was removed.
+type tombstone struct {
+	incarnation job.Incarnation
+	expires     time.Time
 }
 
-// NewBook returns a book that knows only its own entry.
+// NewBook returns a book that contains only this entry's own record.
 func NewBook(self Record) *Book {
-	return &Book{self: self, records: map[job.EntryID]Record{}, forgotten: map[job.EntryID]departure{}}
+	return &Book{self: self, records: map[job.EntryID]Record{}, tombstones: map[job.EntryID]tombstone{}}
 }
 
-// Learn takes records in and returns those that are news: of an entry that was
-// not known, or of a later life of a known one. A life that has ended is no news.
+// Learn adds records and returns those that are new: of an unknown entry, or of a later
+// incarnation of a known one. Records of ended incarnations are ignored.
 func (b *Book) Learn(now time.Time, records ...Record) []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var news []Record
+	var learned []Record
 	for _, r := range records {
 		if r.Owner.Entry == b.self.Owner.Entry || r.Owner.Entry == "" || r.Address == "" || r.Ended {
 			continue
@@ -76,17 +77,17 @@
 		if ok && known.Owner.Incarnation >= r.Owner.Incarnation {
 			continue
 		}
-		if d, gone := b.forgotten[r.Owner.Entry]; gone && !r.Heard && r.Owner.Incarnation <= d.life && now.Before(d.until) {
+		if t, forgotten := b.tombstones[r.Owner.Entry]; forgotten && !r.Heard && r.Owner.Incarnation <= t.incarnation && now.Before(t.expires) {
 			continue
 		}
-		news = append(news, r)
+		learned = append(learned, r)
 		r.Heard, r.Revision = false, 0
 		b.records[r.Owner.Entry] = r
 	}
-	return news
+	return learned
 }
 
-// Forget drops an entry that is gone for good.
+// Forget deletes an entry that has left the fleet permanently.
 func (b *Book) Forget(now time.Time, id job.EntryID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,15 +96,15 @@
 		return
 	}
 	delete(b.records, id)
-	b.forgotten[id] = departure{r.Owner.Incarnation, now.Add(forgottenFor)}
-	for other, d := range b.forgotten {
-		if !now.Before(d.until) {
-			delete(b.forgotten, other)
+	b.tombstones[id] = tombstone{r.Owner.Incarnation, now.Add(tombstoneTTL)}
+	for other, t := range b.tombstones {
+		if !now.Before(t.expires) {
+			delete(b.tombstones, other)
 		}
 	}
 }
 
-// Get returns what is known of an entry, this one included.
+// Get returns the record of an entry, which may be this one.
 func (b *Book) Get(id job.EntryID) (Record, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -114,7 +115,7 @@
 	return r, ok
 }
 
-// All returns all records, this entry's included, by name.
+// All returns all records, including this entry's, sorted by name.
 func (b *Book) All() []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -126,7 +127,7 @@
 	return out
 }
 
-// ByAddress returns the entry that takes links at an address.
+// ByAddress returns the record of the entry that accepts links at an address.
 func (b *Book) ByAddress(address string) (Record, bool) {
 	for _, r := range b.All() {
 		if r.Address == address {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -18,14 +18,14 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer/peertest"
 )
 
-func record(name job.EntryID, life job.Incarnation, address string) Record {
-	return Record{Owner: job.Owner{Entry: name, Incarnation: life, Zone: "z"}, Address: address}
+func record(name job.EntryID, incarnation job.Incarnation, address string) Record {
+	return Record{Owner: job.Owner{Entry: name, Incarnation: incarnation, Zone: "z"}, Address: address}
 }
 
-// A VM is replaced at another address, and news of its earlier life arrive after
-// those of the later one. The later life must stand, and an entry that was
-// forgotten must not come back by hearsay.
-func TestBookKeepsTheLatestLife(t *testing.T) {
+// A VM is replaced at another address, and records of its earlier incarnation arrive after
+// those of the later one. The later incarnation must remain, and records of others must not
+// bring back an entry that was forgotten.
+func TestBookKeepsTheLatestIncarnation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBook(record("a", 1, "10.0.0.1:1"))
 	qt.Assert(t, b.Learn(now, record("b", 5, "10.0.0.2:1"), record("a", 9, "10.0.0.9:1")), qt.HasLen, 1)
@@ -41,9 +41,9 @@
 	qt.Assert(t, b.All(), qt.HasLen, 2)
 }
 
-// Guards against entries that refuse each other for minutes after a cut that outlasted
-// their memory.
-func TestLifeThatIsHeardAgainIsKnownAgain(t *testing.T) {
+// Guards against entries that refuse each other for minutes after a partition so long that
+// they forgot each other.
+func TestForgottenEntryIsAddedAgainOnceHeard(t *testing.T) {
 	var mesh peertest.Network
 	var seeds []string
 	entries := map[job.EntryID]*entry{}
@@ -54,7 +54,7 @@
 		e.server.Start()
 		defer e.server.Close()
 		entries[name] = e
-		wg.Go(func() { e.tellNews(ctx) })
+		wg.Go(func() { e.sendPending(ctx) })
 	}
 	defer wg.Wait()
 	defer cancel()
@@ -75,13 +75,13 @@
 	}
 }
 
-// entry is one joiner behind a real listener.
+// entry is a joiner behind a real listener.
 type entry struct {
 	*Joiner
 	server *httptest.Server
 }
 
-// newEntry makes an entry whose listener opens only with listen.
+// newEntry returns an entry whose server isn't started.
 func newEntry(mesh *peertest.Network, name job.EntryID, seeds func() []string, secret string) *entry {
 	e := &entry{server: httptest.NewUnstartedServer(nil)}
 	self := record(name, 1, e.server.Listener.Addr().String())
@@ -94,8 +94,8 @@
 	return e
 }
 
-// Entries start in any order with three seeds, of which one never listens and one
-// starts late. Each must find all others.
+// Entries start in any order with three seeds, of which one never listens and one starts
+// late. Each must find all others.
 func TestEntriesFindEachOther(t *testing.T) {
 	var mesh peertest.Network
 	var seeds []string
@@ -127,17 +127,17 @@
 	}
 }
 
-// The whole fleet comes back from a power cut. One seed does not answer at all yet,
-// another refuses connections for a moment and is there 150 ms later. The entry must
-// find it as soon as it is there: until then it refuses what callers send.
-func TestSilentSeedHoldsUpNoOther(t *testing.T) {
+// The whole fleet restarts after a power loss. One seed doesn't answer at all yet, another
+// refuses connections and starts to listen 150 ms later. The entry must find the second one
+// as soon as it listens: until then it refuses what callers send.
+func TestUnresponsiveSeedDelaysNoOther(t *testing.T) {
 	var mesh peertest.Network
-	silent := newEntry(&mesh, "silent", nil, "s") // its listener is open, and nobody accepts
-	defer silent.server.Listener.Close()
+	unresponsive := newEntry(&mesh, "silent", nil, "s") // listens but accepts no connections
+	defer unresponsive.server.Listener.Close()
 	late := newEntry(&mesh, "late", nil, "s")
 	address := late.server.Listener.Addr().String()
 	qt.Assert(t, late.server.Listener.Close(), qt.IsNil)
-	a := newEntry(&mesh, "a", func() []string { return []string{silent.server.Listener.Addr().String(), address} }, "s")
+	a := newEntry(&mesh, "a", func() []string { return []string{unresponsive.server.Listener.Addr().String(), address} }, "s")
 	a.server.Start()
 	defer a.server.Close()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -149,19 +149,19 @@
 	late.server.Listener = l
 	late.server.Start()
 	defer late.server.Close()
-	back := time.Now()
-	for !a.Joined() && time.Since(back) < joinTimeout {
+	listening := time.Now()
+	for !a.Joined() && time.Since(listening) < joinTimeout {
 		time.Sleep(5 * time.Millisecond)
 	}
-	// Were the silent seed waited for, it would be 400 ms at the least: the rest of its
-	// 500 ms, and half of the pace of joins.
-	qt.Assert(t, time.Since(back) < joinTimeout-firstJoins-10*time.Millisecond, qt.IsTrue, qt.Commentf("%v", time.Since(back)))
+	// Waiting for the unresponsive seed would take at least 400 ms: the rest of its 500 ms, and
+	// half of the interval between joins.
+	qt.Assert(t, time.Since(listening) < joinTimeout-initialJoinInterval-10*time.Millisecond, qt.IsTrue, qt.Commentf("%v", time.Since(listening)))
 	cancel()
 	qt.Assert(t, <-ended, qt.IsNil)
 }
 
-// Somebody without the secret asks who the entries are, and tells of one that is
-// none. It must learn and change nothing.
+// A sender without the secret asks for the entries and sends the record of a false one. It
+// must learn and change nothing.
 func TestJoinNeedsTheSecret(t *testing.T) {
 	var mesh peertest.Network
 	a := newEntry(&mesh, "a", func() []string { return nil }, "right")
@@ -173,9 +173,9 @@
 	qt.Assert(t, b.opts.Book.All(), qt.HasLen, 1)
 }
 
-// A VM restarts after its time of day jumped back by seconds. The seeds know its
-// last life, and one that does not answer must not hold the start up for long.
-func TestLastLifeIsLearnedBeforeTheStart(t *testing.T) {
+// A VM restarts after its time of day jumped back by seconds. The seeds know its last
+// incarnation, and one that doesn't answer must not delay the start for long.
+func TestLastIncarnationIsLearnedBeforeTheStart(t *testing.T) {
 	var mesh peertest.Network
 	a := newEntry(&mesh, "a", func() []string { return nil }, "s")
 	a.server.Start()
@@ -185,14 +185,14 @@
 	begun := time.Now()
 	qt.Assert(t, LastLife(t.Context(), []string{"127.0.0.1:1", address}, []byte("s"), "b"), qt.Equals, job.Incarnation(77))
 	qt.Assert(t, LastLife(t.Context(), []string{address}, []byte("s"), "c"), qt.Equals, job.Incarnation(0))
-	qt.Assert(t, time.Since(begun) < 2*lastLifeTime, qt.IsTrue)
+	qt.Assert(t, time.Since(begun) < 2*lastIncarnationTimeout, qt.IsTrue)
 }
 
-// Three hundred entries start at once, and each is news to all others. If everybody told
-// everybody, an entry would read each piece of news three hundred times, and have no
-// processor left for the links that it needs. Each must still learn of all.
-func TestNewsOfALargeFleetAreToldToSome(t *testing.T) {
-	const entries, most = 300, 70 // messages that each sends
+// Three hundred entries start at once, and each is new to all others. If every entry sent
+// records to every other one, each would read every record three hundred times and have no
+// processor time left for the links that it needs. Each must still learn of all others.
+func TestUpdatesInALargeFleetGoToSome(t *testing.T) {
+	const entries, limit = 300, 70 // limit of messages per entry
 	synctest.Test(t, func(t *testing.T) {
 		mesh := &peertest.Network{Delay: time.Millisecond}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -206,9 +206,9 @@
 				Seeds: func() []string { return nil },
 			})
 			joiners = append(joiners, j)
-			wg.Go(func() { j.tellNews(ctx) })
+			wg.Go(func() { j.sendPending(ctx) })
 		}
-		// All know the first, which tells of a new one.
+		// All entries know each other, and the first one learns of a new one.
 		var all []Record
 		for _, j := range joiners {
 			all = append(all, j.opts.Book.self)
@@ -224,8 +224,8 @@
 			_, known := j.opts.Book.Get("late")
 			qt.Assert(t, known, qt.IsTrue, qt.Commentf("%s", j.opts.Book.self.Owner.Entry))
 		}
-		told := mesh.Sent(peer.MemberNews) - before
-		qt.Assert(t, told <= entries*most, qt.IsTrue, qt.Commentf("%d messages", told))
+		sent := mesh.Sent(peer.MemberNews) - before
+		qt.Assert(t, sent <= entries*limit, qt.IsTrue, qt.Commentf("%d messages", sent))
 		cancel()
 		wg.Wait()
 		for _, j := range joiners {
--- a/internal/discovery/join.go
+++ b/internal/discovery/join.go
@@ -22,106 +22,108 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 )
 
-// headerMAC carries the proof that a join comes from who knows the secret.
+// headerMAC carries the proof that the sender of a join or an answer knows the secret.
 const headerMAC = "Vanillagrade-Mac"
 
 const (
-	// joinTimeout bounds one join: two round trips across regions and the pause
-	// of a busy VM.
+	// joinTimeout bounds one join. It covers two round trips across regions and the pause of a
+	// busy VM.
 	joinTimeout = 500 * time.Millisecond
-	// firstJoins is the pace of joins until an entry has answered: all entries of
-	// a fleet start within some hundred milliseconds of each other.
-	firstJoins = 100 * time.Millisecond
-	// isolatedJoins is the pace of joins of an entry that was cut off until it knew nobody
-	// any more.
-	isolatedJoins = time.Second
-	// exchangePeriod is the pace of the exchange afterwards. It bounds how long
-	// two parts that started apart stay unknown to each other.
-	exchangePeriod = 2 * time.Second
-	// newsPeriod joins the news of many entries that come at once into one
-	// message to each other entry.
-	newsPeriod = 50 * time.Millisecond
-	// toldAtOnce is to how many entries each one passes news on. Everybody who
-	// hears them first does, so that all hear them within a few steps; told to
-	// everybody by everybody, the news of a fleet that starts would grow with the cube
-	// of its size.
-	toldAtOnce = 64
-	// maxBody bounds a join or its answer, in bytes: some thousand records.
-	maxBody = 1 << 20
+	// initialJoinInterval is the average interval between joins until an entry has answered. All
+	// entries of a fleet start within some hundred milliseconds of each other.
+	initialJoinInterval = 100 * time.Millisecond
+	// isolatedJoinInterval is the average interval between joins of an entry that was partitioned
+	// until it knew no other entry.
+	isolatedJoinInterval = time.Second
+	// exchangeInterval is the average interval between exchanges afterwards. It bounds how long
+	// two parts of a fleet that started apart stay unknown to each other.
+	exchangeInterval = 2 * time.Second
+	// updateDelay combines the records of many entries that arrive together into one message to
+	// each receiver.
+	updateDelay = 50 * time.Millisecond
+	// maxReceivers is the number of entries to which each entry forwards new records. Every entry
+	// that learns of them does so, which reaches all entries within a few steps. If every entry
+	// sent to every other one, the messages of a starting fleet would grow with the cube of its
+	// size.
+	maxReceivers = 64
+	// maxBodyBytes bounds a join or its answer: some thousand records.
+	maxBodyBytes = 1 << 20
 )
 
-// Options describes a Joiner.
+// Options configures a Joiner.
 type Options struct {
 	Book *Book
 	Mesh peer.Mesh
-	// Seeds returns the addresses that may be asked; they may change.
+	// Seeds returns the addresses of the seeds; they may change.
 	Seeds func() []string
-	// Secret signs joins; empty on a trusted network.
+	// Secret signs joins and their answers; empty on a trusted network.
 	Secret []byte
-	// Tell fills in what a record says of its telling: whether the life is heard, or has
-	// ended; nil leaves it out.
+	// Tell fills in the fields of a record that describe this entry's view: whether it hears the
+	// incarnation or considers it ended. If nil, they stay empty.
 	Tell func(*Record)
-	// OnNews gets the records that were new, one call at a time.
+	// OnNews receives the records that were new, one call at a time.
 	OnNews func([]Record)
-	// OnEnded gets the records of known lives that another entry takes for ended. May be nil.
+	// OnEnded receives the records of known incarnations that another entry considers ended. May
+	// be nil.
 	OnEnded func([]Record)
-	// Near lists to whom news are passed on; nil stands for all.
+	// Near lists the entries to which new records are forwarded; nil means up to maxReceivers
+	// random entries.
 	Near func() []job.EntryID
-	// Digest is over the lives that this entry takes for alive: where it is equal, lists
-	// are not exchanged. Nil has them exchanged each time.
+	// Digest returns a hash of the incarnations that this entry considers alive. Entries with
+	// equal digests don't exchange lists. If nil, lists are exchanged each time.
 	Digest func() uint64
 	Log    *slog.Logger
 }
 
 // Joiner finds the other entries and lets them find this one.
 type Joiner struct {
-	asker
+	joinClient
 	opts Options
 
-	mu     sync.Mutex
-	news   []Record
-	joined bool
-	wake   chan struct{}
+	mu      sync.Mutex
+	pending []Record
+	joined  bool
+	wake    chan struct{}
 }
 
 // exchange is the body of a join and of its answer.
 type exchange struct {
 	Records []Record `cbor:"1,keyasint"`
-	// Digest is the sender's; zero asks for all records.
+	// Digest is the sender's digest; zero requests all records.
 	Digest uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// New returns a joiner and sets its handler on the mesh.
+// New returns a joiner and registers its handler on the mesh.
 func New(o Options) *Joiner {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	j := &Joiner{asker: newAsker(o.Secret), opts: o, wake: make(chan struct{}, 1)}
-	o.Mesh.HandleInOrder(peer.MemberNews, j.onNews)
+	j := &Joiner{joinClient: newJoinClient(o.Secret), opts: o, wake: make(chan struct{}, 1)}
+	o.Mesh.HandleInOrder(peer.MemberNews, j.handleUpdates)
 	return j
 }
 
-// Joined reports whether another entry has answered or was heard of.
+// Joined reports whether a record of another entry has been received.
 func (j *Joiner) Joined() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.joined
 }
 
-// Learn takes records in that came by any way, and passes the news on.
+// Learn adds records, whichever message carried them, and forwards the new ones.
 func (j *Joiner) Learn(records ...Record) {
-	j.learnEnds(records)
-	news := j.opts.Book.Learn(time.Now(), records...)
-	if len(news) == 0 {
+	j.reportEnded(records)
+	learned := j.opts.Book.Learn(time.Now(), records...)
+	if len(learned) == 0 {
 		return
 	}
 	j.mu.Lock()
 	j.joined = true
-	j.news = append(j.news, news...)
-	for _, r := range news {
+	j.pending = append(j.pending, learned...)
+	for _, r := range learned {
 		j.opts.Log.Info("entry found", "peer", r.Owner.Entry, "incarnation", r.Owner.Incarnation, "availability_zone", r.Owner.Zone, "address", r.Address, "disk", r.Disk)
 	}
-	j.opts.OnNews(news)
+	j.opts.OnNews(learned)
 	j.mu.Unlock()
 	select {
 	case j.wake <- struct{}{}:
@@ -129,8 +131,8 @@
 	}
 }
 
-// learnEnds passes on what others take for ended and this entry knows.
-func (j *Joiner) learnEnds(records []Record) {
+// reportEnded reports the known incarnations that other entries consider ended.
+func (j *Joiner) reportEnded(records []Record) {
 	var ended []Record
 	for _, r := range records {
 		known, ok := j.opts.Book.Get(r.Owner.Entry)
@@ -143,49 +145,49 @@
 	}
 }
 
-func (j *Joiner) onNews(_ context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
+func (j *Joiner) handleUpdates(_ context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
 	var e exchange
 	if err := cbor.Unmarshal(body, &e); err != nil {
-		return nil, errors.Annotate(err, "decoding the news of entries")
+		return nil, errors.Annotate(err, "decoding records of entries")
 	}
 	j.Learn(e.Records...)
 	return nil, nil
 }
 
-// Run joins, exchanges and tells news until ctx ends.
+// Run joins, exchanges records and forwards new ones until ctx ends.
 func (j *Joiner) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { j.tellNews(ctx) })
+	wg.Go(func() { j.sendPending(ctx) })
 	for ctx.Err() == nil {
-		wait := exchangePeriod
+		interval := exchangeInterval
 		switch {
 		case !j.Joined():
-			wait = firstJoins
-			j.joinAll(ctx, &wg)
-		case j.isolated():
-			wait = isolatedJoins
-			j.joinAll(ctx, &wg)
+			interval = initialJoinInterval
+			j.joinSeeds(ctx, &wg)
+		case j.knowsNoOther():
+			interval = isolatedJoinInterval
+			j.joinSeeds(ctx, &wg)
 		default:
-			j.exchangeOne(ctx)
+			j.exchangeWithRandom(ctx)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait/2 + rand.N(wait)):
+		case <-time.After(interval/2 + rand.N(interval)):
 		}
 	}
 	return nil
 }
 
-// isolated reports whether no other entry is known.
-func (j *Joiner) isolated() bool { return len(j.opts.Book.All()) == 1 }
+// knowsNoOther reports whether no other entry is known.
+func (j *Joiner) knowsNoOther() bool { return len(j.opts.Book.All()) == 1 }
 
-// joinAll asks all seeds side by side, and waits for none: each may be down. A seed
-// without power swallows the first packet, and the kernel sends the next a second
-// later; only a new connection finds it once it is back. Waited for, it would also
-// hold up the others: after a power cut of the whole fleet, entries found each other
-// half a second late, and refused what callers sent meanwhile.
-func (j *Joiner) joinAll(ctx context.Context, wg *sync.WaitGroup) {
+// joinSeeds contacts all seeds in parallel and waits for none: each may be down. A seed
+// without power drops the first packet, and the kernel resends it only a second later, so
+// only a new connection reaches a seed soon after it is back. Waiting for such a seed would
+// also delay the others: after a power loss of the whole fleet, entries found each other half
+// a second late, and refused what callers sent meanwhile.
+func (j *Joiner) joinSeeds(ctx context.Context, wg *sync.WaitGroup) {
 	for _, seed := range j.opts.Seeds() {
 		if !j.isSelf(seed) {
 			wg.Go(func() { j.join(ctx, seed) })
@@ -198,8 +200,8 @@
 	return self.Address == address
 }
 
-// exchangeOne asks one seed or known entry, drawn by lot.
-func (j *Joiner) exchangeOne(ctx context.Context) {
+// exchangeWithRandom exchanges records with a random seed or known entry.
+func (j *Joiner) exchangeWithRandom(ctx context.Context) {
 	addresses := j.opts.Seeds()
 	for _, r := range j.opts.Book.All() {
 		addresses = append(addresses, r.Address)
@@ -210,11 +212,12 @@
 	}
 }
 
-// Meet exchanges with an entry that linked itself without being known before.
+// Meet exchanges records with an entry that opened a link without being known before.
 func (j *Joiner) Meet(address string) { j.join(context.Background(), address) }
 
-// recordsToSend is what this entry tells others: all that it knows, and whom of them it hears.
-// Who was forgotten in a long cut is taken in again by that alone.
+// recordsToSend returns all known records, marked with whether this entry hears each
+// incarnation. Only that mark lets an entry be added again that was forgotten during a long
+// partition.
 func (j *Joiner) recordsToSend() []Record {
 	records := j.opts.Book.All()
 	for i := range records {
@@ -237,81 +240,82 @@
 	return j.opts.Digest()
 }
 
-// join compares with one address what is known on either side: by digests first, and by the
-// whole lists only where those differ.
+// join compares the known entries with those at one address: by digests first, and by the
+// full lists only if the digests differ.
 func (j *Joiner) join(ctx context.Context, address string) {
-	mine := j.digest()
+	digest := j.digest()
 	self, _ := j.opts.Book.Get(j.opts.Mesh.Self().Entry)
 	self.Heard = true
-	answer, err := j.post(ctx, address, exchange{Records: []Record{self}, Digest: mine})
+	answer, err := j.post(ctx, address, exchange{Records: []Record{self}, Digest: digest})
 	if err != nil {
-		j.opts.Log.Debug("a seed does not answer", "address", address, "error", err)
+		j.opts.Log.Debug("join failed", "address", address, "error", err)
 		return
 	}
 	j.Learn(answer.Records...)
 	missing := j.missingFrom(answer.Records)
-	if answer.Digest == mine && mine != 0 || len(missing) == 0 {
+	if answer.Digest == digest && digest != 0 || len(missing) == 0 {
 		return
 	}
 	if _, err := j.post(ctx, address, exchange{Records: missing, Digest: answer.Digest}); err != nil {
-		j.opts.Log.Debug("what another entry lacks was not told", "address", address, "error", err)
+		j.opts.Log.Debug("sending missing records failed", "address", address, "error", err)
 	}
 }
 
-// missingFrom returns the records of which another entry's list says something else.
+// missingFrom returns the records that another entry lacks or has only in an older state.
 func (j *Joiner) missingFrom(theirs []Record) []Record {
 	known := make(map[job.EntryID]Record, len(theirs))
 	for _, r := range theirs {
 		known[r.Owner.Entry] = r
 	}
 	return slices.DeleteFunc(j.recordsToSend(), func(r Record) bool {
-		other, ok := known[r.Owner.Entry]
-		return ok && other.Owner.Incarnation >= r.Owner.Incarnation && (other.Ended || !r.Ended) || r.Owner.Entry == j.opts.Mesh.Self().Entry
+		listed, ok := known[r.Owner.Entry]
+		return ok && listed.Owner.Incarnation >= r.Owner.Incarnation && (listed.Ended || !r.Ended) || r.Owner.Entry == j.opts.Mesh.Self().Entry
 	})
 }
 
-// asker asks single addresses. A process asks before it has a joiner.
-type asker struct {
+// joinClient sends joins to single addresses. A process uses one before it has a Joiner.
+type joinClient struct {
 	client *http.Client
 	secret []byte
 }
 
-func newAsker(secret []byte) asker {
+func newJoinClient(secret []byte) joinClient {
 	dialer := &net.Dialer{Timeout: joinTimeout}
-	return asker{secret: secret, client: &http.Client{
+	return joinClient{secret: secret, client: &http.Client{
 		Timeout: joinTimeout, Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true},
 	}}
 }
 
-// lastLifeTime bounds the question for the last life of an entry: it delays each
+// lastIncarnationTimeout bounds the query for an entry's last incarnation, which delays each
 // start while the seeds are down.
-const lastLifeTime = 300 * time.Millisecond
+const lastIncarnationTimeout = 300 * time.Millisecond
 
-// LastLife returns the latest life of an entry that any seed knows of, zero for
-// none. The time of day may jump back between two lives; numbered by it alone, the
-// later life would be taken for the earlier one and ignored by everybody.
+// LastLife returns the latest incarnation of an entry that any seed knows, or zero for none.
+// The time of day may jump back between two incarnations. If incarnations were numbered by
+// the time of day alone, all entries would then take the later one for the earlier one and
+// ignore it.
 func LastLife(ctx context.Context, seeds []string, secret []byte, entry job.EntryID) job.Incarnation {
-	ctx, cancel := context.WithTimeout(ctx, lastLifeTime)
+	ctx, cancel := context.WithTimeout(ctx, lastIncarnationTimeout)
 	defer cancel()
-	a := newAsker(secret)
-	lives := make(chan job.Incarnation, len(seeds))
+	client := newJoinClient(secret)
+	incarnations := make(chan job.Incarnation, len(seeds))
 	for _, seed := range seeds {
 		go func() {
-			answer, err := a.post(ctx, seed, exchange{})
+			answer, err := client.post(ctx, seed, exchange{})
 			if err != nil {
 				answer.Records = nil
 			}
-			lives <- lifeIn(answer.Records, entry)
+			incarnations <- incarnationIn(answer.Records, entry)
 		}()
 	}
 	var last job.Incarnation
 	for range seeds {
-		last = max(last, <-lives)
+		last = max(last, <-incarnations)
 	}
 	return last
 }
 
-func lifeIn(records []Record, entry job.EntryID) job.Incarnation {
+func incarnationIn(records []Record, entry job.EntryID) job.Incarnation {
 	for _, r := range records {
 		if r.Owner.Entry == entry {
 			return r.Owner.Incarnation
@@ -320,7 +324,7 @@
 	return 0
 }
 
-func (a asker) post(ctx context.Context, address string, e exchange) (exchange, error) {
+func (c joinClient) post(ctx context.Context, address string, e exchange) (exchange, error) {
 	var answer exchange
 	body, err := cbor.Marshal(e)
 	if err != nil {
@@ -330,35 +334,35 @@
 	if err != nil {
 		return answer, errors.Trace(err)
 	}
-	req.Header.Set(headerMAC, a.mac(body))
-	resp, err := a.client.Do(req)
+	req.Header.Set(headerMAC, c.mac(body))
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return answer, errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	if err != nil {
 		return answer, errors.Trace(err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return answer, errors.Errorf("status %d", resp.StatusCode)
 	}
-	if !hmac.Equal([]byte(resp.Header.Get(headerMAC)), []byte(a.mac(raw))) {
+	if !hmac.Equal([]byte(resp.Header.Get(headerMAC)), []byte(c.mac(raw))) {
 		return answer, errors.New("the peer secrets differ")
 	}
 	return answer, errors.Trace(cbor.Unmarshal(raw, &answer))
 }
 
-func (a asker) mac(body []byte) string {
-	h := hmac.New(sha256.New, a.secret)
+func (c joinClient) mac(body []byte) string {
+	h := hmac.New(sha256.New, c.secret)
 	h.Write([]byte("vanillagrade join"))
 	h.Write(body)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// ServeHTTP takes the join of another entry.
+// ServeHTTP handles the join of another entry.
 func (j *Joiner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -386,8 +390,8 @@
 	_, _ = w.Write(raw)
 }
 
-// tellNews passes news on to every linked entry.
-func (j *Joiner) tellNews(ctx context.Context) {
+// sendPending forwards new records until ctx ends, after a delay that combines them.
+func (j *Joiner) sendPending(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -397,30 +401,31 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(newsPeriod):
+		case <-time.After(updateDelay):
 		}
 		j.mu.Lock()
-		news := j.news
-		j.news = nil
+		records := j.pending
+		j.pending = nil
 		j.mu.Unlock()
-		j.tell(news)
+		j.sendRecords(records)
 	}
 }
 
-// tell passes news on to some entries: all of a small fleet, the neighbours in a large one.
-func (j *Joiner) tell(news []Record) {
-	body, err := cbor.Marshal(exchange{Records: news})
+// sendRecords sends records to the receivers: all entries of a small fleet, some in a large
+// one.
+func (j *Joiner) sendRecords(records []Record) {
+	body, err := cbor.Marshal(exchange{Records: records})
 	if err != nil {
-		j.opts.Log.Error("news of entries not encoded", "error", err)
+		j.opts.Log.Error("records of entries not encoded", "error", err)
 		return
 	}
-	for _, to := range j.near() {
-		// A link that is down misses the news; the exchange repairs it.
+	for _, to := range j.receivers() {
+		// A link that is down loses the records; the exchange repairs that.
 		_ = j.opts.Mesh.Send(to, peer.MemberNews, cbor.RawMessage(body))
 	}
 }
 
-func (j *Joiner) near() []job.EntryID {
+func (j *Joiner) receivers() []job.EntryID {
 	if j.opts.Near != nil {
 		return j.opts.Near()
 	}
@@ -431,5 +436,5 @@
 		}
 	}
 	rand.Shuffle(len(others), func(a, b int) { others[a], others[b] = others[b], others[a] })
-	return others[:min(len(others), toldAtOnce)]
+	return others[:min(len(others), maxReceivers)]
 }
