--- a/internal/runs/answers_test.go
+++ b/internal/runs/answers_test.go
@@ -11,8 +11,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/target"
 )
 
-// A start gets lost on the way to a target that is well. The task must be free to go
-// elsewhere while a frame of 200 ms can still be on the artist's screen in time.
+// A start request gets lost on the way to a healthy target. The loss must be known early enough
+// for the task to run elsewhere and a frame of 200 ms still to reach the artist in time.
 func TestLostStartIsKnownInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
@@ -24,25 +24,25 @@
 		qt.Assert(t, res.Refusal, qt.Equals, target.Unanswered)
 		qt.Assert(t, res.Ran <= 180*time.Millisecond, qt.IsTrue, qt.Commentf("%v", res.Ran))
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// An entry that is short of processor time reads answers a tenth of a second late. It
-// must not come to doubt each start: every doubt costs it another look.
+// An entry that is short of processor time reads answers 100 ms late. It must not doubt each
+// start, since every doubt costs it another poll.
 func TestSlowAnswersAreWaitedFor(t *testing.T) {
 	var a answerTimes
-	qt.Assert(t, a.wait(), qt.Equals, leastStartWait)
+	qt.Assert(t, a.timeout(), qt.Equals, minStartWait)
 	for range 20 {
-		a.learn(3 * time.Millisecond)
+		a.record(3 * time.Millisecond)
 	}
-	qt.Assert(t, a.wait(), qt.Equals, leastStartWait)
+	qt.Assert(t, a.timeout(), qt.Equals, minStartWait)
 	for i, took := range []time.Duration{40, 80, 110, 90, 115, 100} {
-		a.learn(took * time.Millisecond)
-		qt.Assert(t, i < 2 || a.wait() > 150*time.Millisecond, qt.IsTrue, qt.Commentf("%v", a.wait()))
+		a.record(took * time.Millisecond)
+		qt.Assert(t, i < 2 || a.timeout() > 150*time.Millisecond, qt.IsTrue, qt.Commentf("%v", a.timeout()))
 	}
 	for range 40 {
-		a.learn(time.Second)
+		a.record(time.Second)
 	}
-	qt.Assert(t, a.wait(), qt.Equals, answerTime)
+	qt.Assert(t, a.timeout(), qt.Equals, maxAnswerWait)
 }
--- a/internal/runs/bound_test.go
+++ b/internal/runs/bound_test.go
@@ -11,8 +11,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/target"
 )
 
-// runsUntil returns when the last run of a worker has ended, at the latest after a while.
-func runsUntil(w *worker, begun time.Time) time.Duration {
+// timeUntilIdle returns how long after begun the last run of a worker has ended, at most
+// about 10 s.
+func timeUntilIdle(w *worker, begun time.Time) time.Duration {
 	for time.Since(begun) < 10*time.Second {
 		idle := false
 		w.set(func() { idle = len(w.running) == 0 })
@@ -24,13 +25,13 @@
 	return time.Since(begun)
 }
 
-// The owner of a run is not heard any more, and each stop that its holder sends gets lost.
-// The run must not live on with the lease that the holder renews for others: the owner, or
-// its caller, has it run elsewhere.
-func TestARunWhoseStopsGetLostEndsInTime(t *testing.T) {
+// The holder no longer hears from the owner of a run, and each stop request that the holder sends
+// gets lost. The lease that the holder renews for other runs must not keep this run alive, because
+// its owner or its caller starts it elsewhere.
+func TestRunWithLostStopsEndsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes = time.Hour
+		w.runTime = time.Hour
 		w.delay = time.Hour
 		w.lose = func(order string) bool { return order == "stop" }
 		s := NewSession(Options{Orders: w})
@@ -39,20 +40,20 @@
 		time.Sleep(2 * time.Second)
 		begun := time.Now()
 		go func() { _ = s.Stop(t.Context(), "lost", 0) }()
-		took := runsUntil(w, begun)
-		qt.Assert(t, took <= stopBound+leaseMargin, qt.IsTrue, qt.Commentf("%v", took))
+		took := timeUntilIdle(w, begun)
+		qt.Assert(t, took <= stopTimeout+leaseMargin, qt.IsTrue, qt.Commentf("%v", took))
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// A holder is about to stand still: the proof of its owner's life is 800 ms old when it
-// renews the lease for the last time. The run ends when the owner counts on it, not when
-// the longest lease would.
-func TestALeaseEndsWithTheRightToAct(t *testing.T) {
+// A holder is about to pause: the last proof that the owner is alive is 800 ms old when the holder
+// renews the lease for the last time. The run must end when the owner expects it to, not when the
+// longest lease would end.
+func TestLeaseIsBoundedByTimeLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes = time.Hour
+		w.runTime = time.Hour
 		s := NewSession(Options{Orders: w})
 		bound := time.Now().Add(1200 * time.Millisecond)
 		task := taskOf("a", 1)
@@ -60,19 +61,19 @@
 		begun := time.Now()
 		go s.Start(t.Context(), task)
 		time.Sleep(50 * time.Millisecond)
-		took := runsUntil(w, begun)
+		took := timeUntilIdle(w, begun)
 		qt.Assert(t, took <= 1220*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// Nothing is started on a target while a run there has to end and can't be stopped: the
-// start would lengthen its life.
-func TestNothingStartsBesideARunThatHasToEnd(t *testing.T) {
+// While a run on a target has to end and can't be stopped, nothing is started on that target: a
+// start would extend the lease and so the run.
+func TestNoStartWhileARunHasToEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes = time.Hour
+		w.runTime = time.Hour
 		s := NewSession(Options{Orders: w})
 		bound := time.Now().Add(time.Second)
 		task := taskOf("a", 1)
@@ -83,13 +84,13 @@
 		qt.Assert(t, res.Status, qt.Equals, job.TaskNotStarted)
 		qt.Assert(t, res.Refusal, qt.Equals, target.Busy)
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// The right to act ends while a start is renumbered or sent under a newer epoch: each
-// sending asks for it anew.
-func TestEachSendingOfAStartAsksWhetherItIsWanted(t *testing.T) {
+// A task stops being wanted while its start is renumbered or sent under a newer epoch: each
+// attempt must ask Wanted again.
+func TestEveryStartAttemptChecksWanted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		s := NewSession(Options{Orders: w})
@@ -103,6 +104,6 @@
 		qt.Assert(t, res.Refusal, qt.Equals, target.Abandoned)
 		qt.Assert(t, w.starts, qt.Equals, 0)
 		s.Close()
-		settle()
+		drain()
 	})
 }
--- a/internal/runs/clock.go
+++ b/internal/runs/clock.go
@@ -2,55 +2,56 @@
 
 import "time"
 
-// epochShift leaves room below the clock for the salt and for steps within one
-// millisecond; epochStep goes past the salt.
+// epochShift leaves room below the clock's milliseconds for the salt and for steps within one
+// millisecond. epochStep is larger than any salt.
 const (
 	epochShift = 12
 	epochStep  = 1 << 8
 	saltMask   = epochStep - 1
 )
 
-// clock is what this entry knows of a target's clock.
+// clock is this entry's knowledge of a target's clock.
 type clock struct {
-	millis int64
-	at0    time.Time
-	// least and leastAt are the reading that bounds the clock from below.
-	least   int64
-	leastAt time.Time
+	millis   int64
+	millisAt time.Time
+	// floor and floorAt are the clock reading from which the lower bound is computed, and when it
+	// was received.
+	floor   int64
+	floorAt time.Time
 }
 
-// set takes a reading. A lower one than expected comes from an answer that was
-// overtaken; epochs must not fall back with it.
-func (c *clock) set(now time.Time, millis int64) {
-	if c.at0.IsZero() || millis >= c.at(now) {
-		c.millis, c.at0 = millis, now
+// update records a clock reading. A reading below the expected one comes from an answer that was
+// overtaken by a later one; epochs must not decrease because of it.
+func (c *clock) update(now time.Time, millis int64) {
+	if c.millisAt.IsZero() || millis >= c.estimate(now) {
+		c.millis, c.millisAt = millis, now
 	}
-	if c.leastAt.IsZero() || millis >= c.atLeast(now) {
-		c.least, c.leastAt = millis, now
+	if c.floorAt.IsZero() || millis >= c.lowerBound(now) {
+		c.floor, c.floorAt = millis, now
 	}
 }
 
-// atLeast is what the target's clock shows at the least: its last reading, and the time
-// since by the slowest clock. The end of a lease is reckoned from it. Reckoned from an
-// estimate that runs ahead, a lease on a slow clock would last longer than was asked for,
-// by 20 ms for each second for which the target is held.
-func (c *clock) atLeast(now time.Time) int64 {
-	if c.leastAt.IsZero() {
+// lowerBound returns the least that the target's clock can show: the last reading plus the time
+// since then, measured by the slowest clock allowed. The end of a lease is computed from it.
+// Computed from an estimate that runs ahead, a lease on a slow clock would last longer than
+// requested, by 20 ms for each second that the target is held.
+func (c *clock) lowerBound(now time.Time) int64 {
+	if c.floorAt.IsZero() {
 		return 0
 	}
-	return c.least + int64(float64(now.Sub(c.leastAt).Milliseconds())*(1-clockDrift))
+	return c.floor + int64(float64(now.Sub(c.floorAt).Milliseconds())*(1-clockDrift))
 }
 
-// at estimates the target's clock; it errs to the high side by the drift of the
-// clocks, as epochs need it.
-func (c *clock) at(now time.Time) int64 {
-	if c.at0.IsZero() {
+// estimate returns the estimated time on the target's clock. It errs on the high side by the clock
+// drift, which is what epochs need.
+func (c *clock) estimate(now time.Time) int64 {
+	if c.millisAt.IsZero() {
 		return 0
 	}
-	return c.millis + now.Sub(c.at0).Milliseconds()
+	return c.millis + now.Sub(c.millisAt).Milliseconds()
 }
 
-// epoch returns the epoch that belongs to a moment of the target's clock.
+// epoch returns the epoch for a moment of the target's clock.
 func (c *clock) epoch(now time.Time, salt uint16) uint64 {
-	return uint64(max(c.at(now), 0))<<epochShift | uint64(salt&saltMask)
+	return uint64(max(c.estimate(now), 0))<<epochShift | uint64(salt&saltMask)
 }
--- a/internal/runs/events_test.go
+++ b/internal/runs/events_test.go
@@ -14,32 +14,32 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// kept is a sink that keeps the kinds of events.
-type kept struct {
+// eventKinds is a sink that keeps the kinds of events.
+type eventKinds struct {
 	mu    sync.Mutex
 	kinds []timeline.Kind
 }
 
-func (k *kept) Record(ev timeline.Event) {
+func (k *eventKinds) Record(ev timeline.Event) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.kinds = append(k.kinds, ev.Kind)
 }
 
-func (k *kept) all() []timeline.Kind {
+func (k *eventKinds) all() []timeline.Kind {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Clone(k.kinds)
 }
 
-// A target changes hands, and later falls silent with a run on it. Whoever looks for
-// the cause of the lost run finds in the time line who gave the orders when, and that
-// the lease had run out before the task went elsewhere.
-func TestChangesOfOrdersAndLeasesAreRecorded(t *testing.T) {
+// A target passes to another holder and later becomes unresponsive with a run on it. The timeline
+// must show which entry was the holder at which time, and that the lease had expired before the
+// task went elsewhere.
+func TestHolderChangesAndLeasesAreRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes = time.Hour
-		var former, later kept
+		w.runTime = time.Hour
+		var former, later eventKinds
 		first := NewSession(Options{Orders: w, Salt: 1, Events: &former})
 		time.Sleep(time.Second)
 		second := NewSession(Options{Orders: w, Salt: 2, Events: &later})
@@ -51,16 +51,17 @@
 		lost := make(chan target.Result, 1)
 		go func() { lost <- second.Start(t.Context(), taskOf("b", 1)) }()
 		time.Sleep(time.Second)
-		w.set(func() { w.silent = true })
+		w.set(func() { w.unresponsive = true })
 		qt.Assert(t, (<-lost).Reason, qt.Equals, job.TargetLost)
-		// A start and the renewals of a second, which are only counted, stand between.
+		// Between them are one accepted start and the renewals of one second, which are only
+		// counted.
 		qt.Assert(t, later.all(), qt.DeepEquals, []timeline.Kind{
 			timeline.TargetTaken, timeline.RunAccepted,
 			timeline.LeaseRenewed, timeline.LeaseRenewed, timeline.LeaseRenewed, timeline.LeaseRunOut,
 		})
-		w.set(func() { w.silent = false })
+		w.set(func() { w.unresponsive = false })
 		first.Close()
 		second.Close()
-		settle()
+		drain()
 	})
 }
--- a/internal/runs/orders.go
+++ b/internal/runs/orders.go
@@ -1,12 +1,12 @@
-// Package runs starts tasks on targets that run them under a lease: a task is
-// started by one order, its end is learned by another, and everything that runs
-// on the target ends by itself when nobody renews the target's lease.
+// Package runs starts tasks on targets that run them under a lease. One request starts a task,
+// polls report its end, and everything on the target ends by itself when nobody renews the
+// target's lease.
 //
-// Two rules rest on it. Exactly one entry renews a target's lease and gives it
-// orders: each holder takes an epoch above all earlier ones, and the target
-// does nothing for a lower one. And a task is called over only when its end was
-// listed, when the target provably never took its start, or when the lease has
-// provably run out; until then it may run, and must not run elsewhere.
+// Two rules hold. First, exactly one entry renews a target's lease and sends it requests: each
+// holder claims an epoch above all earlier ones, and the target refuses requests with a lower one.
+// Second, a task counts as over only when the target has listed its end, when the target provably
+// never accepted its start, or when the lease has provably expired. Until then the task may be
+// running and must not run elsewhere.
 package runs
 
 import (
@@ -15,36 +15,37 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Ref names one task.
+// Ref identifies one task.
 type Ref struct {
 	Submission job.ID
 	Index      int
 }
 
-// Refusal is a target's own word that it did not carry out an order.
+// Refusal is the reason for which a target did not carry out a request.
 type Refusal uint8
 
-// The refusals.
+// Reasons for a refusal.
 const (
-	// Accepted is none: the order was carried out.
+	// Accepted means no refusal: the request was carried out.
 	Accepted Refusal = iota
-	// Fenced says that the target has seen a higher epoch.
+	// Fenced means that the target has seen a higher epoch.
 	Fenced
-	// Outnumbered says that a run of this number or a higher one has been there.
+	// Outnumbered means that the target has had a run of the task with this number or a higher
+	// one.
 	Outnumbered
-	// Late says that the order's lease had run out when it arrived.
+	// Late means that the lease in the request had expired when the request arrived.
 	Late
-	// NoRoom says that the task does not fit beside what runs there.
+	// NoRoom means that the target has no free capacity for the task.
 	NoRoom
-	// Unwell says that the target does not start anything at the moment.
+	// Unwell means that the target accepts no starts at the moment.
 	Unwell
-	// Elsewhere says that another life of the target listens at its address.
+	// Elsewhere means that another incarnation of the target listens at its address.
 	Elsewhere
-	// Rejected says that the order itself is wrong.
+	// Rejected means that the request itself is invalid.
 	Rejected
 )
 
-// StartOrder starts one run of a task.
+// StartOrder is a request to start one run of a task.
 type StartOrder struct {
 	Task  Ref
 	Run   int
@@ -54,29 +55,29 @@
 	Until int64
 }
 
-// StopOrder stops one run of a task.
+// StopOrder is a request to stop one run of a task.
 type StopOrder struct {
 	Task  Ref
 	Run   int
 	Epoch uint64
 }
 
-// RenewOrder renews the lease and asks what runs and what has ended.
+// RenewOrder is a poll: it renews the lease and asks which runs exist and which have ended.
 type RenewOrder struct {
 	Epoch uint64
-	// Until is the end of the lease in milliseconds of the target's clock; zero
-	// leaves the lease as it is.
+	// Until is the end of the lease in milliseconds of the target's clock; zero leaves the lease
+	// unchanged.
 	Until int64
-	// Acked is the number up to which the ends are known here.
+	// Acked acknowledges all ends up to this number.
 	Acked uint64
 	// WaitMillis is how long the target may wait for an end before it answers.
 	WaitMillis int64
 }
 
-// Reply is the target's answer to an order.
+// Reply is the target's answer to a request.
 type Reply struct {
 	Refusal Refusal
-	// Clock is the target's clock in milliseconds; zero when it wasn't said.
+	// Clock is the target's clock in milliseconds; zero when the answer has none.
 	Clock  int64
 	Detail string
 }
@@ -85,26 +86,26 @@
 type Running struct {
 	Task Ref
 	Run  int
-	// Percent is how much of its work is done.
+	// Percent is the share of its work that is done.
 	Percent int
 }
 
-// How is how a run ended.
+// How is the way in which a run ended.
 type How uint8
 
-// The ways in which a run ends.
+// Ways in which a run ends.
 const (
 	Done How = iota + 1
-	// Failed is by the task's own fault or by the target's.
+	// Failed means that the task or the target failed.
 	Failed
 	Stopped
-	// Lapsed is by the end of the lease.
+	// Lapsed means that the lease expired.
 	Lapsed
 	// Broken is any other end without a result.
 	Broken
 )
 
-// End is one end that the target lists until it is acknowledged.
+// End is the end of one run, which the target lists until it is acknowledged.
 type End struct {
 	Number uint64
 	Task   Ref
@@ -112,15 +113,15 @@
 	How    How
 }
 
-// Look is the target's answer to a renewal.
+// Look is the target's answer to a poll.
 type Look struct {
 	Reply
 	Running []Running
 	Ended   []End
 }
 
-// Orders is the way to one target. An error says that the order may or may not
-// be carried out, now or later.
+// Orders sends requests to one target. After an error the request may be carried out or not, now
+// or later.
 type Orders interface {
 	Start(ctx context.Context, o StartOrder) (Reply, error)
 	Stop(ctx context.Context, o StopOrder) (Reply, error)
--- a/internal/runs/review2_test.go
+++ b/internal/runs/pauses_test.go
@@ -13,7 +13,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/target"
 )
 
-// pausedWorker counts calls and holds all answers up while the entry stands still.
+// pausedWorker counts calls and delays all answers while the link or the target is paused.
 type pausedWorker struct {
 	*worker
 	mu     sync.Mutex
@@ -21,13 +21,13 @@
 	counts map[string]int
 }
 
-func (w *pausedWorker) in(kind string) {
+func (w *pausedWorker) count(kind string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.counts[kind]++
 }
 
-func (w *pausedWorker) out(ctx context.Context) error {
+func (w *pausedWorker) delayAnswer(ctx context.Context) error {
 	w.mu.Lock()
 	until := w.until
 	w.mu.Unlock()
@@ -44,41 +44,40 @@
 }
 
 func (w *pausedWorker) Start(ctx context.Context, o StartOrder) (Reply, error) {
-	w.in("start")
+	w.count("start")
 	r, err := w.worker.Start(ctx, o)
-	if e := w.out(ctx); e != nil {
+	if e := w.delayAnswer(ctx); e != nil {
 		return Reply{}, e
 	}
 	return r, err
 }
 
 func (w *pausedWorker) Stop(ctx context.Context, o StopOrder) (Reply, error) {
-	w.in("stop")
+	w.count("stop")
 	r, err := w.worker.Stop(ctx, o)
-	if e := w.out(ctx); e != nil {
+	if e := w.delayAnswer(ctx); e != nil {
 		return Reply{}, e
 	}
 	return r, err
 }
 
 func (w *pausedWorker) Renew(ctx context.Context, o RenewOrder) (Look, error) {
-	w.in("renew")
+	w.count("renew")
 	l, err := w.worker.Renew(ctx, o)
-	if e := w.out(ctx); e != nil {
+	if e := w.delayAnswer(ctx); e != nil {
 		return Look{}, e
 	}
 	return l, err
 }
 
-// The link of an entry, or the target, stands still for 130 ms once a second; nothing is
-// lost. Its users see a hitch. The target must not get several times the calls for it:
-// each look at it is paid for, and an entry that is short of processor time would stand
-// still so the more.
-func TestShortPausesMultiplyNoCalls(t *testing.T) {
+// The link of an entry, or the target, pauses for 130 ms once a second; no message is lost. Users
+// notice a short delay. The number of calls must not multiply: each poll costs processor time, and
+// an entry that is short of it would pause even more.
+func TestShortPausesDoNotMultiplyCalls(t *testing.T) {
 	calls := func(pause time.Duration) (looks, starts, done int) {
 		synctest.Test(t, func(t *testing.T) {
 			w := &pausedWorker{worker: newWorker(), counts: map[string]int{}}
-			w.worker.takes = 200 * time.Millisecond
+			w.worker.runTime = 200 * time.Millisecond
 			s := NewSession(Options{Orders: w})
 			time.Sleep(time.Second)
 			begun := time.Now()
@@ -106,7 +105,7 @@
 			looks, starts = w.counts["renew"], w.counts["start"]
 			w.mu.Unlock()
 			s.Close()
-			settle()
+			drain()
 		})
 		return looks, starts, done
 	}
--- a/internal/runs/repeat.go
+++ b/internal/runs/repeat.go
@@ -7,269 +7,267 @@
 	"github.com/juju/errors"
 )
 
-// Load pattern: half of the orders get lost on the way, or are carried out seconds
-// later, while the target is well. Sent once, an order is known to be lost only after
-// the longest wait for its answer; in that time a task of 60 ms has missed its
-// objective, and a job of eight tasks meets it once in 256 times. But a target takes
-// each of our orders any number of times: a run that is there or was there is not
-// begun again. So an order without an answer is sent again, on another connection,
-// some usual answer times later, and the first answer counts.
+// Load pattern: half of the requests get lost in transit or are carried out seconds later, while
+// the target is healthy. A request that is sent once is known to be lost only after the longest
+// answer timeout. By then a task of 60 ms has missed its objective, and a job of eight tasks meets
+// it once in 256 times. But requests to a target are idempotent: a run that exists or has existed
+// is not started again. So a request without an answer is sent again on another connection after a
+// few usual answer times, and the first answer counts.
 //
-// Copies cost the processor time that an entry may lack, and an entry that lacks it
-// reads answers late, which looks like a loss. So copies are bounded, and none is sent
-// while this entry does not keep its own times.
+// Copies cost processor time that an entry may lack, and an entry that lacks it reads answers
+// late, which looks like a loss. So the number of copies is bounded, and none is sent while this
+// entry's own timers fire late.
 
 const (
-	// leastGap is the shortest time after which an order is sent again: some round
-	// trips of 3 ms, so that an order which is only under way is not.
-	leastGap = 15 * time.Millisecond
-	// promptCopies bounds how often an order is sent that the target answers at once:
-	// where half get lost, one in 64 is left in doubt, and the last copy still has
-	// a third of the shortest wait for its answer.
-	promptCopies = 6
-	// lossyCopies and lossyGap are these two where orders get lost: answers that come
-	// late make the gap longer, but that they do is not what one waits for there. With
-	// 10 ms the last start of a job of eight tasks is through after 30 to 40.
-	lossyCopies = 12
-	lossyGap    = 10 * time.Millisecond
-	// lookWait is how long a look waits at the target for an end where orders get
-	// lost, and lookGap how long after one such look the next one follows. They have
-	// no answer either way, so that each costs a call; three or four of them wait at
-	// a time, of which an end finds none that is not lost in one of ten cases.
-	// lookCopies bounds them: for longer than all take they are not waited for.
-	lookWait   = 100 * time.Millisecond
-	lookGap    = 30 * time.Millisecond
-	lookCopies = 6
-	// lossMemory is for how long a target counts as one of which orders get lost after
-	// the last one that was: some looks, of which one at least tells whether it goes on.
-	lossMemory = time.Second
-	// silentAfter is for how long a target has to leave every call unanswered until it
-	// is taken for silent and not merely for one of which orders get lost: the wait of
-	// several looks, and half of a lease.
-	silentAfter = 500 * time.Millisecond
-	// pauseLeast is by how much a timer is late where this entry stood still or waited
-	// for its processor: more than an answer takes, and half of the shortest gap.
-	pauseLeast = 5 * time.Millisecond
-	// brokenPause is the wait before the look that follows on one that broke off.
-	brokenPause = 10 * time.Millisecond
+	// minResendDelay is the shortest time after which a request is sent again: several round trips
+	// of 3 ms, so that a request still in transit is not repeated.
+	minResendDelay = 15 * time.Millisecond
+	// maxPromptCopies bounds the copies of a request that the target answers at once. Where half
+	// of them get lost, one request in 64 is left in doubt, and the last copy still has a third of
+	// the shortest timeout for its answer.
+	maxPromptCopies = 6
+	// maxLossyCopies and lossyResendDelay replace maxPromptCopies and the usual resend delay where
+	// requests get lost. Late answers lengthen the usual delay, but there the wait is for lost
+	// requests, not for late answers. With 10 ms the last start of a job of eight tasks arrives
+	// after 30 to 40 ms.
+	maxLossyCopies   = 12
+	lossyResendDelay = 10 * time.Millisecond
+	// Where requests get lost, lossyPollWait is how long a poll waits at the target for an end,
+	// and lossyPollInterval how long after one such poll the next is sent. A poll that waits has
+	// no answer whether it is lost or not, so each one costs a call. Three or four wait at a time,
+	// and in one of ten cases an end finds all of them lost. maxLossyPollCopies bounds the number
+	// of polls: the session does not wait for them longer than they all take.
+	lossyPollWait      = 100 * time.Millisecond
+	lossyPollInterval  = 30 * time.Millisecond
+	maxLossyPollCopies = 6
+	// lossyPeriod is how long a target counts as lossy after the last loss: several polls, at
+	// least one of which shows whether the losses go on.
+	lossyPeriod = time.Second
+	// unresponsiveAfter is how long a target must leave every call unanswered before it counts as
+	// unresponsive and not merely as lossy: the wait of several polls, and half of a lease.
+	unresponsiveAfter = 500 * time.Millisecond
+	// maxTimerDelay is how late a timer may fire before this entry counts as paused or short of
+	// processor time: more than an answer takes, and half of the shortest resend delay.
+	maxTimerDelay = 5 * time.Millisecond
+	// brokenPollDelay is the delay before the poll that follows on one whose connection broke.
+	brokenPollDelay = 10 * time.Millisecond
 )
 
-// errNoAnswer says that no copy of a call was answered in time.
+// errNoAnswer is returned when no copy of a call was answered in time.
 const errNoAnswer = errors.ConstError("no answer in time")
 
-// patience says how a call is made: how often it may be sent, how long after one
-// copy the next follows, and how long to wait for an answer in all.
-type patience struct {
-	copies    int
-	gap, wait time.Duration
+// callPolicy controls how a call is made: the maximum number of copies, the delay between two
+// copies, and the timeout of the whole call.
+type callPolicy struct {
+	maxCopies            int
+	resendDelay, timeout time.Duration
 }
 
-// answered is what came of a call: the answer, how many copies it took, and whether a
-// later copy was answered while an earlier one was without an answer.
-type answered[T any] struct {
+// callResult is the result of a call: the answer, the number of copies sent, and whether a later
+// copy was answered while an earlier one had no answer.
+type callResult[T any] struct {
 	value     T
 	sent      int
 	overtaken bool
 }
 
-// reply is what became of one copy.
-type reply[T any] struct {
+// copyResult is the result of one copy of a call.
+type copyResult[T any] struct {
 	value T
 	copy  int
 	err   error
 }
 
-// keptTime reports whether a timer that was set for a gap fired in time. If not, answers
-// may be there that this entry has not come to read: a copy would then be sent for
-// nothing, cost the entry more of what it lacks, and so make the next ones needed.
-func keptTime(set, fired time.Time, gap time.Duration) bool {
-	return fired.Sub(set) <= gap+pauseLeast
+// firedInTime reports whether a timer fired in time. If not, answers may have arrived that this
+// entry has not had the processor time to read. Another copy would then be useless and would cost
+// the entry more of the time that it lacks, which in turn causes further copies.
+func firedInTime(armedAt, firedAt time.Time, delay time.Duration) bool {
+	return firedAt.Sub(armedAt) <= delay+maxTimerDelay
 }
 
-// firstAnswer makes a call and returns the first answer to a copy of it. A copy that
-// breaks off is followed by the next one at once. While this entry does not keep its
-// own times no copy is sent, and the call is given that much longer. Copies that are
-// still out afterwards are left to their own bounds: an answered call leaves its
-// connection in order, a cancelled one would cost a new one. An only copy is made by the
-// caller itself and ends with ctx.
-func firstAnswer[T any](ctx context.Context, p patience, send func(context.Context) (T, error)) (got answered[T], err error) {
-	if p.copies == 1 {
+// firstAnswer makes a call and returns the first answer to a copy of it. A copy that fails is
+// followed by the next one at once. While this entry's own timers fire late, no copy is sent, and
+// the timeout of the call is extended by the delay. Copies still in flight when firstAnswer
+// returns end by their own timeouts: an answered call leaves its connection reusable, while a
+// cancelled one would cost a new connection. A policy of one copy calls send directly, and that
+// call ends with ctx.
+func firstAnswer[T any](ctx context.Context, policy callPolicy, send func(context.Context) (T, error)) (got callResult[T], err error) {
+	if policy.maxCopies == 1 {
 		got.sent = 1
 		got.value, err = send(ctx)
 		return got, err
 	}
-	left := context.WithoutCancel(ctx)
-	replies := make(chan reply[T], p.copies)
-	open, paused := 0, false
-	launch := func() {
-		if got.sent == p.copies {
+	detached := context.WithoutCancel(ctx)
+	replies := make(chan copyResult[T], policy.maxCopies)
+	pending, paused := 0, false
+	sendCopy := func() {
+		if got.sent == policy.maxCopies {
 			return
 		}
 		got.sent++
-		open++
+		pending++
 		number := got.sent
 		go func() {
-			v, err := send(left)
-			replies <- reply[T]{v, number, err}
+			v, err := send(detached)
+			replies <- copyResult[T]{v, number, err}
 		}()
 	}
-	again := time.NewTimer(p.gap)
-	defer again.Stop()
-	launch()
-	set := time.Now()
-	latest := set.Add(p.wait + answerTime)
-	for over := set.Add(p.wait); ; {
+	resendTimer := time.NewTimer(policy.resendDelay)
+	defer resendTimer.Stop()
+	sendCopy()
+	armedAt := time.Now()
+	latestDeadline := armedAt.Add(policy.timeout + maxAnswerWait)
+	for deadline := armedAt.Add(policy.timeout); ; {
 		select {
 		case r := <-replies:
 			if r.err == nil {
 				got.value, got.overtaken = r.value, r.copy > 1 && !paused
 				return got, nil
 			}
-			open--
-			launch()
-			if open == 0 {
+			pending--
+			sendCopy()
+			if pending == 0 {
 				return got, r.err
 			}
-		case <-again.C:
+		case <-resendTimer.C:
 			now := time.Now()
 			switch {
-			case !keptTime(set, now, p.gap):
+			case !firedInTime(armedAt, now, policy.resendDelay):
 				paused = true
-				if over = over.Add(now.Sub(set) - p.gap); now.After(latest) {
+				if deadline = deadline.Add(now.Sub(armedAt) - policy.resendDelay); now.After(latestDeadline) {
 					return got, errNoAnswer
 				}
-			case !now.Before(over):
+			case !now.Before(deadline):
 				return got, errNoAnswer
 			default:
-				launch()
+				sendCopy()
 			}
-			set = now
-			again.Reset(min(p.gap, max(over.Sub(now), time.Millisecond)))
+			armedAt = now
+			resendTimer.Reset(min(policy.resendDelay, max(deadline.Sub(now), time.Millisecond)))
 		case <-ctx.Done():
 			return got, ctx.Err()
 		}
 	}
 }
 
-// heardOf notes what became of a call that was made at a moment. One that got no
-// answer, while the target answered another one since, was lost: the target is well
-// and the way to it is not.
-func (s *Session) heardOf(begun time.Time, err error) {
+// recordCallOutcome records the outcome of a call that was made at begun. A call that failed,
+// although the target has answered another one since, was lost: the target is healthy and the link
+// to it is not.
+func (s *Session) recordCallOutcome(begun time.Time, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
-		s.heard = time.Now()
+		s.lastAnswer = time.Now()
 		return
 	}
-	if s.ctx.Err() == nil && s.heard.After(begun) {
-		s.losing(time.Now())
+	if s.ctx.Err() == nil && s.lastAnswer.After(begun) {
+		s.noteLoss(time.Now())
 	}
 }
 
-// losing notes that an order got lost; the caller holds the lock.
-func (s *Session) losing(now time.Time) {
+// noteLoss notes that a request got lost. The caller holds the lock.
+func (s *Session) noteLoss(now time.Time) {
 	lossy := s.lossy(now)
-	s.lossyUntil = now.Add(lossMemory)
+	s.lossyUntil = now.Add(lossyPeriod)
 	if !lossy {
-		s.lookAgain() // the look that is out waits too long for what may get lost
+		s.pollNow() // the poll in flight waits too long for an answer that may get lost
 	}
 }
 
-// promptPatience is how a call is made that the target answers at once.
-func (s *Session) promptPatience() patience {
+// promptPolicy returns the policy for calls that the target answers at once.
+func (s *Session) promptPolicy() callPolicy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.promptly(time.Now())
+	return s.promptPolicyLocked(time.Now())
 }
 
-// promptly is promptPatience for a caller that holds the lock.
-func (s *Session) promptly(now time.Time) patience {
-	p := patience{copies: promptCopies, gap: s.answers.gap(), wait: s.answers.wait()}
+// promptPolicyLocked is promptPolicy for a caller that holds the lock.
+func (s *Session) promptPolicyLocked(now time.Time) callPolicy {
+	policy := callPolicy{maxCopies: maxPromptCopies, resendDelay: s.answers.resendDelay(), timeout: s.answers.timeout()}
 	if s.lossy(now) {
-		p.copies, p.gap = lossyCopies, lossyGap
+		policy.maxCopies, policy.resendDelay = maxLossyCopies, lossyResendDelay
 	}
-	return p
+	return policy
 }
 
-// lossy reports whether orders to the target get lost; the caller holds the lock.
+// lossy reports whether requests to the target get lost. The caller holds the lock.
 func (s *Session) lossy(now time.Time) bool { return now.Before(s.lossyUntil) }
 
-// lookPatience is how a look is made; the caller holds the lock. It shortens the wait
-// of the look where orders get lost, and leaves it out while a start is in doubt.
-func (s *Session) lookPatience(now time.Time, o *RenewOrder) patience {
-	if s.doubting() {
+// pollPolicy returns the policy for a poll. It shortens the poll's wait at the target where
+// requests get lost, and removes it while a start is in doubt. The caller holds the lock.
+func (s *Session) pollPolicy(now time.Time, o *RenewOrder) callPolicy {
+	if s.anyStartInDoubt() {
 		o.WaitMillis = 0
 	}
 	switch {
-	case s.silent:
-		return patience{copies: 1, gap: answerTime, wait: answerTime}
+	case s.unresponsive:
+		return callPolicy{maxCopies: 1, resendDelay: maxAnswerWait, timeout: maxAnswerWait}
 	case o.WaitMillis == 0:
-		return s.promptly(now)
+		return s.promptPolicyLocked(now)
 	case s.lossy(now):
-		o.WaitMillis = min(o.WaitMillis, lookWait.Milliseconds())
-		return patience{copies: lookCopies, gap: lookGap, wait: lookWait + s.answers.wait()}
+		o.WaitMillis = min(o.WaitMillis, lossyPollWait.Milliseconds())
+		return callPolicy{maxCopies: maxLossyPollCopies, resendDelay: lossyPollInterval, timeout: lossyPollWait + s.answers.timeout()}
 	}
-	wait := time.Duration(o.WaitMillis)*time.Millisecond + answerTime
-	return patience{copies: 1, gap: wait, wait: wait}
+	timeout := time.Duration(o.WaitMillis)*time.Millisecond + maxAnswerWait
+	return callPolicy{maxCopies: 1, resendDelay: timeout, timeout: timeout}
 }
 
-// doubting reports whether a look has to tell what became of a start; the caller
+// anyStartInDoubt reports whether a poll is needed to learn what became of a start. The caller
 // holds the lock.
-func (s *Session) doubting() bool {
+func (s *Session) anyStartInDoubt() bool {
 	for _, r := range s.runs {
-		if r.doubted != 0 && r.confirmed.IsZero() {
+		if r.doubtEpoch != 0 && r.confirmedAt.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// sendStart sends one copy of a start. The copy is left out beyond the time for which
-// its caller waits: when the way to a target becomes slow at once, the answers that come
-// too late are the only ones that tell how long to wait for the next. Ended with the
-// wait, no answer would be learned from, and each start would go on being sent as often
-// as one that gets lost.
+// sendStart sends one copy of a start request. The copy outlives the time for which its caller
+// waits: when the link to a target suddenly becomes slow, only the answers that come too late show
+// how long to wait for the next ones. If copies ended with the caller's wait, their answer times
+// would never be recorded, and each start would be sent as often as one that gets lost.
 func (s *Session) sendStart(ctx context.Context, o StartOrder) (Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+	ctx, cancel := context.WithTimeout(ctx, maxAnswerWait)
 	defer cancel()
 	begun := time.Now()
 	s.opts.Calls.Starts.Add(1)
 	reply, err := s.opts.Orders.Start(ctx, o)
-	s.heardOf(begun, err)
+	s.recordCallOutcome(begun, err)
 	if err == nil {
-		s.answered(time.Since(begun))
+		s.recordAnswerTime(time.Since(begun))
 	}
 	return reply, err
 }
 
-// sendLook sends one copy of a look.
-func (s *Session) sendLook(ctx context.Context, o RenewOrder, wait time.Duration) (Look, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+// sendPoll sends one copy of a poll.
+func (s *Session) sendPoll(ctx context.Context, o RenewOrder, timeout time.Duration) (Look, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	begun := time.Now()
 	s.opts.Calls.Looks.Add(1)
 	l, err := s.opts.Orders.Renew(ctx, o)
-	s.heardOf(begun, err)
+	s.recordCallOutcome(begun, err)
 	if err == nil && l.Refusal == Accepted {
-		// The loop takes in the first answer only; a later one may know of an end
-		// that would otherwise wait for the next look.
+		// The loop processes the first answer only. A later answer may report an end that would
+		// otherwise wait for the next poll.
 		s.mu.Lock()
-		s.takeEnds(l.Ended)
+		s.deliverEnds(l.Ended)
 		s.mu.Unlock()
 	}
 	return l, err
 }
 
-// orderStop sends a stop until a copy of it is answered.
-func (s *Session) orderStop(o StopOrder) (Reply, error) {
-	p := s.promptPatience()
+// requestStop sends a stop request until a copy of it is answered.
+func (s *Session) requestStop(o StopOrder) (Reply, error) {
+	p := s.promptPolicy()
 	got, err := firstAnswer(s.ctx, p, func(ctx context.Context) (Reply, error) {
-		ctx, cancel := context.WithTimeout(ctx, p.wait)
+		ctx, cancel := context.WithTimeout(ctx, p.timeout)
 		defer cancel()
 		begun := time.Now()
 		s.opts.Calls.Stops.Add(1)
 		reply, err := s.opts.Orders.Stop(ctx, o)
-		s.heardOf(begun, err)
+		s.recordCallOutcome(begun, err)
 		return reply, err
 	})
 	return got.value, err
--- a/internal/runs/repeat_test.go
+++ b/internal/runs/repeat_test.go
@@ -14,7 +14,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/target"
 )
 
-// loseFirst loses the first n orders of a kind.
+// loseFirst loses the first n requests of a kind.
 func loseFirst(kind string, n int) func(string) bool {
 	return func(order string) bool {
 		if order != kind {
@@ -25,13 +25,13 @@
 	}
 }
 
-// The first two orders for a start get lost, and are carried out when the task is long
-// over. A user sees a thumbnail in time: the start reaches the same target within some
-// round trips, and the late orders begin nothing.
+// The first two copies of a start request get lost and are carried out long after the task has
+// ended. The start must reach the same target within a few round trips, so that the user's
+// thumbnail is in time, and the late copies must start nothing.
 func TestLostStartIsSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes, w.delay = 60*time.Millisecond, 300*time.Millisecond
+		w.runTime, w.delay = 60*time.Millisecond, 300*time.Millisecond
 		s := NewSession(Options{Orders: w})
 		time.Sleep(time.Second)
 		w.set(func() { w.lose = loseFirst("start", 2) })
@@ -41,17 +41,17 @@
 		time.Sleep(5 * time.Second)
 		w.set(func() { qt.Check(t, w.starts, qt.Equals, 1) })
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// A start is carried out at once, its answer gets lost, and the run is over before the
-// order is sent again. The target then says that this run was there. The caller gets
-// the result; the task does not run a second time.
+// A start is carried out at once, its answer gets lost, and the run ends before the request is
+// sent again. The target answers that this run has already existed. The caller must get the
+// result, and the task must not run a second time.
 func TestRepeatedStartOfAnEndedRunIsNotRunAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes = 5 * time.Millisecond
+		w.runTime = 5 * time.Millisecond
 		s := NewSession(Options{Orders: w})
 		time.Sleep(time.Second)
 		w.set(func() { w.lose = loseFirst("start", 1) })
@@ -59,17 +59,17 @@
 		qt.Assert(t, res.Status, qt.Equals, job.TaskDone)
 		w.set(func() { qt.Check(t, w.starts, qt.Equals, 1) })
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// A start gets lost, and its repetition is refused since the target is full. The first
-// one arrives while the target has room again. The task went elsewhere meanwhile, so
-// it must not begin here as well: two runs of it would work at one time.
+// A start request gets lost, and its second copy is refused because the target is full. The first
+// copy arrives when the target has free capacity again. The task has gone elsewhere by then, so it
+// must not start here: two runs of it would be active at once.
 func TestRefusedRepetitionFencesTheLostStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes, w.delay = time.Second, 400*time.Millisecond
+		w.runTime, w.delay = time.Second, 400*time.Millisecond
 		s := NewSession(Options{Orders: w})
 		time.Sleep(time.Second)
 		w.set(func() { w.lose, w.full = loseFirst("start", 1), true })
@@ -79,22 +79,22 @@
 		time.Sleep(5 * time.Second)
 		w.set(func() { qt.Check(t, w.starts, qt.Equals, 0) })
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// One task's start gets no answer at all, while a target runs others and more come.
-// Their callers notice nothing: what is not known of one task holds up no other.
-func TestDoubtedStartHoldsUpNoOther(t *testing.T) {
+// One task's start gets no answer at all, while the target runs other tasks and receives more. A
+// start in doubt must not delay any other task.
+func TestDoubtedStartDelaysNoOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes, w.delay = 60*time.Millisecond, time.Hour
+		w.runTime, w.delay = 60*time.Millisecond, time.Hour
 		s := NewSession(Options{Orders: w})
 		time.Sleep(time.Second)
 		w.set(func() { w.loseTask = "doubted" })
 		go s.Start(t.Context(), taskOf("doubted", 1))
 		w.set(func() { w.lose = func(order string) bool { return order == "renew" } })
-		time.Sleep(200 * time.Millisecond) // doubted by now, and no look has told yet
+		time.Sleep(200 * time.Millisecond) // in doubt by now, and not yet resolved by a poll
 		begun := time.Now()
 		done := make(chan target.Result, 1)
 		go func() { done <- s.Start(t.Context(), taskOf("b", 1)) }()
@@ -106,17 +106,17 @@
 		qt.Assert(t, (<-done).Status, qt.Equals, job.TaskDone)
 		qt.Assert(t, time.Since(begun) <= 200*time.Millisecond, qt.IsTrue, qt.Commentf("%v", time.Since(begun)))
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// Some looks in a row get lost while starts are answered. The target is well: it goes
-// on to get work, what runs there keeps its lease, and its end is told within a
-// fraction of the time for which a look may wait.
-func TestLostLooksMakeNoTargetSilent(t *testing.T) {
+// Several polls in a row get lost while starts are answered. The target is healthy: it must keep
+// getting work, its runs must keep their lease, and their ends must be reported within a fraction
+// of the time for which a poll may wait.
+func TestLostPollsDoNotMarkTargetUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes, w.delay = 60*time.Millisecond, time.Hour
+		w.runTime, w.delay = 60*time.Millisecond, time.Hour
 		s := NewSession(Options{Orders: w})
 		time.Sleep(time.Second)
 		w.set(func() { w.lose = everyOther() })
@@ -126,11 +126,11 @@
 			qt.Assert(t, i < 4 || res.Ran <= 250*time.Millisecond, qt.IsTrue, qt.Commentf("task %d took %v", i, res.Ran))
 		}
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// everyOther loses each second order of each kind.
+// everyOther loses every second request of each kind.
 func everyOther() func(string) bool {
 	seen := map[string]int{}
 	return func(order string) bool {
@@ -139,19 +139,19 @@
 	}
 }
 
-// Half of all orders get lost for a minute and are carried out at any time up to
-// twelve seconds later. Callers see nearly all of their small tasks answered within
-// four times their own time, and no task ever runs on two targets at one time.
-func TestHalfOfTheOrdersLost(t *testing.T) {
+// Half of all requests get lost for a minute and are carried out up to twelve seconds later.
+// Nearly all small tasks must end within four times their own run time, and no task may ever run
+// on two targets at once.
+func TestHalfOfTheRequestsLost(t *testing.T) {
 	for seed := range uint64(8) {
 		synctest.Test(t, func(t *testing.T) {
 			workers := []*worker{newWorker(), newWorker()}
 			sessions := make([]*Session, len(workers))
 			for i, w := range workers {
 				lot := rand.New(rand.NewPCG(seed, uint64(i)))
-				w.takes = 60 * time.Millisecond
+				w.runTime = 60 * time.Millisecond
 				w.lose = func(string) bool { return lot.IntN(2) == 0 }
-				w.late = func() time.Duration { return time.Duration(lot.IntN(12000)) * time.Millisecond }
+				w.randomDelay = func() time.Duration { return time.Duration(lot.IntN(12000)) * time.Millisecond }
 				sessions[i] = NewSession(Options{Orders: w, Salt: uint16(i)})
 			}
 			time.Sleep(time.Second)
@@ -177,13 +177,13 @@
 			for _, s := range sessions {
 				s.Close()
 			}
-			settle()
+			drain()
 		})
 	}
 }
 
-// runUntilDone starts a task on one target after another until one has done it, and
-// checks that what is said not to run there does not.
+// runUntilDone starts a task on one target after another until one has completed it. It checks
+// that no target runs the task after a start has returned.
 func runUntilDone(t *testing.T, sessions []*Session, workers []*worker, ref Ref) {
 	for run := 1; ; run++ {
 		at := (ref.Index + run) % len(sessions)
@@ -203,11 +203,11 @@
 	}
 }
 
-// A call is answered at its third copy; the earlier ones are not called off, and no
-// further one is sent.
+// A call is answered at its third copy. The earlier copies must not be cancelled, and no further
+// copy may be sent.
 func TestFirstAnswerCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := patience{copies: 5, gap: 10 * time.Millisecond, wait: 100 * time.Millisecond}
+		p := callPolicy{maxCopies: 5, resendDelay: 10 * time.Millisecond, timeout: 100 * time.Millisecond}
 		var mu sync.Mutex
 		calls := 0
 		begun := time.Now()
@@ -217,7 +217,7 @@
 			n := calls
 			mu.Unlock()
 			if n < 3 {
-				time.Sleep(p.wait)
+				time.Sleep(p.timeout)
 				return 0, errLost
 			}
 			time.Sleep(time.Millisecond)
@@ -233,12 +233,11 @@
 	})
 }
 
-// Every copy breaks off at once, as where nothing listens any more: the call ends after
-// the last copy and does not wait for the time of an answer. Where none is answered it
-// ends with that time.
+// If every copy fails at once, as when nothing listens at the address, the call must end after the
+// last copy without waiting for the timeout. If no copy is answered, it must end with the timeout.
 func TestNoCopyIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := patience{copies: 3, gap: 10 * time.Millisecond, wait: 100 * time.Millisecond}
+		p := callPolicy{maxCopies: 3, resendDelay: 10 * time.Millisecond, timeout: 100 * time.Millisecond}
 		begun := time.Now()
 		got, err := firstAnswer(t.Context(), p, func(context.Context) (int, error) { return 0, errLost })
 		qt.Assert(t, err, qt.Equals, errLost)
@@ -250,27 +249,27 @@
 		})
 		qt.Assert(t, err, qt.Equals, error(errNoAnswer))
 		qt.Assert(t, got.sent, qt.Equals, 3)
-		qt.Assert(t, time.Since(begun), qt.Equals, p.wait)
-		settle()
+		qt.Assert(t, time.Since(begun), qt.Equals, p.timeout)
+		drain()
 	})
 }
 
-// An entry waits for its processor for tens of milliseconds at a time, as one does that
-// has used up its share. The answers to its orders lie unread meanwhile. If it took
-// them for lost, the copies would take the rest of its processor time, and callers of
-// every target that it holds would get nothing.
-func TestNoCopyWhileTheEntryStoodStill(t *testing.T) {
+// An entry that has used up its processor share waits for the processor for tens of milliseconds
+// at a time, while the answers to its requests lie unread. If it counted them as lost, the copies
+// would take the rest of its processor time, and callers of every target that it holds would get
+// no service.
+func TestNoCopyWhileTheEntryIsPaused(t *testing.T) {
 	set := time.Now()
 	gap := 20 * time.Millisecond
-	qt.Assert(t, keptTime(set, set.Add(gap), gap), qt.IsTrue)
-	qt.Assert(t, keptTime(set, set.Add(gap+2*time.Millisecond), gap), qt.IsTrue)
-	qt.Assert(t, keptTime(set, set.Add(gap+40*time.Millisecond), gap), qt.IsFalse)
+	qt.Assert(t, firedInTime(set, set.Add(gap), gap), qt.IsTrue)
+	qt.Assert(t, firedInTime(set, set.Add(gap+2*time.Millisecond), gap), qt.IsTrue)
+	qt.Assert(t, firedInTime(set, set.Add(gap+40*time.Millisecond), gap), qt.IsFalse)
 }
 
-// The first copies of two starts are lost and the second ones answered. The session
-// knows at once that orders get lost on the way to this target, and does not wait for the
-// next end with a single look that may get lost as well. One such start may be an answer
-// that is late, as they are on any day, and changes nothing.
+// The first copies of two starts get lost and the second copies are answered. The session must
+// conclude at once that requests to this target get lost, and not rely on a single waiting poll
+// that may get lost as well. One such start alone may be a late answer, which is common, and must
+// change nothing.
 func TestOvertakenStartsShowLosses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
@@ -284,12 +283,12 @@
 		for i, id := range []string{"a", "b"} {
 			w.set(func() { w.lose = loseFirst("start", 1) })
 			go s.Start(t.Context(), taskOf(id, 1))
-			time.Sleep(leastGap + time.Millisecond)
+			time.Sleep(minResendDelay + time.Millisecond)
 			qt.Check(t, lossy(), qt.Equals, i == 1)
 		}
-		time.Sleep(2 * lossMemory)
+		time.Sleep(2 * lossyPeriod)
 		qt.Check(t, lossy(), qt.IsFalse)
 		s.Close()
-		settle()
+		drain()
 	})
 }
--- a/internal/runs/session.go
+++ b/internal/runs/session.go
@@ -14,69 +14,71 @@
 )
 
 const (
-	// DefaultLease is the longest lease that a target gives.
+	// DefaultLease is the longest lease that a target grants.
 	DefaultLease = time.Second
-	// lookPart is the part of a lease that a renewal may wait at the target for an
-	// end: two renewals and an answer fit into one, so that a lost one ends nothing.
-	lookPart = 0.35
-	// answerTime bounds the wait for an answer beyond what was asked for. A round
-	// trip takes 3 ms at most; an entry on a small share of a processor may itself
-	// stand still for a tenth of a second.
-	answerTime = 300 * time.Millisecond
-	// clockDrift is by how much a target's clock may be slow, and leaseMargin
-	// covers the way of an order and the rounding of clocks.
+	// pollWaitShare is the share of a lease for which a poll may wait at the target for an end.
+	// Two polls and an answer fit into one lease, so that a single lost poll ends no run.
+	pollWaitShare = 0.35
+	// maxAnswerWait bounds the wait for an answer beyond the requested wait. A round trip takes
+	// 3 ms at most, but an entry with a small share of a processor may itself pause for 100 ms.
+	maxAnswerWait = 300 * time.Millisecond
+	// clockDrift is the fraction by which a target's clock may be slow. leaseMargin covers the
+	// transit time of a request and the rounding of clocks.
 	clockDrift  = 0.02
 	leaseMargin = 60 * time.Millisecond
-	// silentPause is the wait between two looks at a target that is silent.
-	silentPause = 150 * time.Millisecond
-	// strayPause is the wait between two looks while strays are being stopped:
-	// a stop takes 50 ms.
-	strayPause = 40 * time.Millisecond
-	// maxRenumber bounds how often a start takes a higher run number, and
-	// renumberStep is the step: above the attempts of any one owner.
-	maxRenumber  = 4
+	// unresponsivePollInterval is the delay between two polls of an unresponsive target.
+	unresponsivePollInterval = 150 * time.Millisecond
+	// strayPollInterval is the delay between two polls while stray runs are being stopped. A stop
+	// takes 50 ms.
+	strayPollInterval = 40 * time.Millisecond
+	// maxRenumbers bounds how often a start gets a higher run number. renumberStep is the step:
+	// larger than the number of attempts of any one owner.
+	maxRenumbers = 4
 	renumberStep = 16
-	// maxFenced bounds how often an order takes a new epoch.
-	maxFenced = 4
-	// leastLease is the shortest lease for which anything is started: the way of the
-	// order, and a look that lengthens it.
-	leastLease = 150 * time.Millisecond
-	// stopBound is how long a run that has to end may go on where its stop gets lost: the
-	// target's lease is not lengthened beyond. Callers turn elsewhere 1.3 s after they
-	// have hung up; the rest is for clocks that differ, and for the way of the hang-up.
-	stopBound = 1100 * time.Millisecond
-	// stopTries bounds the stops of one run at a time; looks go on with it.
-	stopTries = 4
+	// maxStartRefusals bounds how often a start may be refused as fenced or late before it is
+	// abandoned.
+	maxStartRefusals = 4
+	// minLease is the shortest lease with which a task is started: it covers the transit of the
+	// request and a poll that extends the lease.
+	minLease = 150 * time.Millisecond
+	// stopTimeout is how long a run that has to end may go on if its stop requests get lost; the
+	// target's lease is not extended beyond it. Callers turn to another entry 1.3 s after they
+	// have disconnected. The difference covers clocks that differ and the time until the
+	// disconnect is noticed.
+	stopTimeout = 1100 * time.Millisecond
+	// maxStopAttempts bounds the consecutive stop requests for one run. Later polls send further
+	// ones.
+	maxStopAttempts = 4
 )
 
-// Options describes a session.
+// Options configures a session.
 type Options struct {
 	Orders Orders
 	Target job.TargetID
 	// Salt makes the epochs of two entries differ in their low bits.
 	Salt uint16
-	// Lease is the longest lease that the target gives; zero takes DefaultLease.
+	// Lease is the longest lease that the target grants; zero selects DefaultLease.
 	Lease time.Duration
-	// Gone is told once that another life of the target listens at its address,
-	// Yielded once that another entry has taken the target.
+	// Gone is called once when another incarnation of the target is found at its address. Yielded
+	// is called once when another entry has taken the target.
 	Gone    func()
 	Yielded func()
-	// Ended is told when the target's machine refuses connections while runs of this
-	// session are there: the target's process has ended. May be nil.
+	// Ended is called when the target's machine refuses connections while runs of this session are
+	// there, which means that the target's process has ended. It may be nil.
 	Ended func()
-	// Events gets each change of who gives the target its orders, and each lease
-	// that has run out; nil keeps none.
+	// Events receives each change of the target's holder and each expiry of a lease; nil discards
+	// them.
 	Events timeline.Sink
 	Log    *slog.Logger
-	// Calls counts the calls of targets; nil counts none.
+	// Calls counts the calls to targets; nil disables counting.
 	Calls *Calls
 }
 
-// Calls counts what is sent to targets, copies included. It is safe for concurrent use.
+// Calls counts the requests sent to targets, including copies. It is safe for concurrent use.
 type Calls struct{ Starts, Looks, Stops atomic.Uint64 }
 
-// Session gives orders to one target and renews its lease while anything of
-// this entry runs there. It implements holder.Connection.
+// Session sends requests to one target and renews its lease while any run of this entry is active
+// there. It implements holder.Connection.
 type Session struct {
 	opts Options
 	ctx  context.Context
@@ -86,74 +88,72 @@
 	clock   clock
 	answers answerTimes
 	epoch   uint64
-	// acked is the number of the last end that was taken, told the one that the
-	// target was last told of.
-	acked, told uint64
-	runs        map[Ref]*run
-	// until is when by this entry's clock the last lease that it asked for has
-	// certainly run out at the target.
-	until time.Time
-	// settled is set once the target obeys this entry's epoch and nothing runs
-	// there that this entry does not know. Nothing is started before.
+	// lastSeenEnd is the number of the last end that was processed, lastAckedEnd the last one that
+	// the target has received as acknowledged.
+	lastSeenEnd, lastAckedEnd uint64
+	runs                      map[Ref]*run
+	// leaseExpiry is the time, by this entry's clock, at which the last requested lease has
+	// certainly expired at the target.
+	leaseExpiry time.Time
+	// settled is set once the target obeys this entry's epoch and runs nothing that this entry
+	// does not know. Nothing is started before that.
 	settled bool
 	ready   chan struct{}
-	// silent is set while the last look got no answer. The lease is not renewed
-	// then, so that it runs out for certain while the target can't be asked.
-	silent bool
-	// heard is when the target last answered a call, missed counts the looks that got
-	// no answer since the last one that did, and lossyUntil is until when the target
-	// counts as one of which orders get lost. overtakenAt is when a start was last
-	// answered at a later copy only.
-	heard       time.Time
-	missed      int
+	// unresponsive is set while the last poll got no answer. The lease is not renewed then, so
+	// that it certainly expires while the target can't be polled.
+	unresponsive bool
+	// lastAnswer is when the target last answered a call. missedPolls counts the unanswered polls
+	// since the last answered one. The target counts as lossy, that is, its requests get lost,
+	// until lossyUntil. overtakenAt is when a start was last answered only at a later copy.
+	lastAnswer  time.Time
+	missedPolls int
 	lossyUntil  time.Time
 	overtakenAt time.Time
-	// deposed is set when another entry has taken the target. What was left
-	// running is stopped there, or lapses since it is not renewed.
+	// deposed is set when another entry has taken the target. Runs left there are stopped, or end
+	// with the lease, which is no longer renewed.
 	deposed bool
-	// obeyed is set once the target has obeyed an epoch of this session, claims
-	// counts the epochs that were refused before.
-	obeyed bool
-	claims int
-	// refuses is set while the target's machine refuses connections.
-	refuses bool
-	// lost is set when another life of the target was met.
-	lost    bool
-	closing bool
-	looping bool
-	// resting is set while an idle target waits for its last acknowledgement.
-	resting bool
-	// wake ends a pause of the loop; interrupt ends a look that waits for an end
-	// and notes that the target is not to blame.
-	wake        chan struct{}
-	interrupt   context.CancelFunc
-	interrupted bool
+	// epochAccepted is set once the target has accepted an epoch of this session. refusedEpochs
+	// counts the epochs that it refused before.
+	epochAccepted bool
+	refusedEpochs int
+	// connRefused is set while the target's machine refuses connections.
+	connRefused bool
+	// replaced is set when another incarnation of the target was found at its address.
+	replaced bool
+	closing  bool
+	polling  bool
+	// ackDelayed is set while the last acknowledgement to an idle target is delayed.
+	ackDelayed bool
+	// wake ends a delay of the poll loop. cancelPoll cancels a poll that waits for an end, and
+	// pollCancelled records that this session cancelled it and the target did not fail.
+	wake          chan struct{}
+	cancelPoll    context.CancelFunc
+	pollCancelled bool
 }
 
 // run is one started task.
 type run struct {
 	number int
-	// confirmed is when the target was first known to have taken the start.
-	confirmed time.Time
-	// doubted is the epoch that was taken after the start got no answer: a look
-	// under it, or a higher one, tells whether the start was carried out.
-	doubted  uint64
-	stopping bool
-	// left bounds how long the run may go on, nil sets no bound. overBy is by when it must
-	// be over once its stop was decided: no later word of its owner moves that on.
-	left   func() time.Duration
-	overBy time.Time
-	// expected is how long the run is expected to take, watch the timer of its
-	// next look; moved says that it is stopped for being too slow.
-	expected time.Duration
-	watch    *time.Timer
-	moved    bool
-	percent  int
-	done     chan target.Result
+	// confirmedAt is when the target was first known to have accepted the start.
+	confirmedAt time.Time
+	// doubtEpoch is the epoch claimed after the start got no answer. A poll under this epoch or a
+	// higher one shows whether the start was carried out.
+	doubtEpoch uint64
+	stopping   bool
+	// timeLeft returns how long the run may go on; nil sets no bound. deadline is when the run
+	// must be over once its stop was decided. Nothing that the owner reports later extends it.
+	timeLeft func() time.Duration
+	deadline time.Time
+	// expected is how long the run is expected to take. paceTimer triggers its next pace check.
+	// tooSlow is set when the run is stopped for being too slow.
+	expected  time.Duration
+	paceTimer *time.Timer
+	tooSlow   bool
+	percent   int
+	done      chan target.Result
 }
 
-// NewSession opens a session; it looks at the target at once, which settles its
-// epoch.
+// NewSession opens a session. It polls the target at once to settle its epoch.
 func NewSession(o Options) *Session {
 	if o.Lease == 0 {
 		o.Lease = DefaultLease
@@ -170,12 +170,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	s := &Session{opts: o, ctx: ctx, stop: stop, runs: map[Ref]*run{}, ready: make(chan struct{}), wake: make(chan struct{}, 1)}
 	s.mu.Lock()
-	s.keepLooking()
+	s.ensurePolling()
 	s.mu.Unlock()
 	return s
 }
 
-// Start implements holder.Connection: it returns when the run is over.
+// Start implements holder.Connection. It returns when the run is over.
 func (s *Session) Start(ctx context.Context, t target.Task) target.Result {
 	begun := time.Now()
 	res := s.start(ctx, t)
@@ -191,15 +191,15 @@
 		return target.Withdrawn()
 	}
 	ref := Ref{t.Submission, t.Index}
-	r := &run{number: max(1, t.Run), percent: -1, expected: t.Expected, left: t.Left, done: make(chan target.Result, 1)}
+	r := &run{number: max(1, t.Run), percent: -1, expected: t.Expected, timeLeft: t.Left, done: make(chan target.Result, 1)}
 	s.mu.Lock()
 	if s.runs[ref] != nil {
 		s.mu.Unlock()
-		return notStarted(target.Busy, "an earlier run of the task is still there")
+		return notStarted(target.Busy, "an earlier run of the task still exists")
 	}
 	s.runs[ref] = r
 	s.mu.Unlock()
-	s.order(ref, r, &t)
+	s.requestStart(ref, r, &t)
 	return <-r.done
 }
 
@@ -209,20 +209,20 @@
 	return s.deposed
 }
 
-// awaitSettled waits a moment for a target that was just taken.
+// awaitSettled waits up to maxAnswerWait for a target that was just taken to settle.
 func (s *Session) awaitSettled(ctx context.Context) (refused target.Result, ok bool) {
 	s.mu.Lock()
-	silent, lost, settled, ready := s.silent, s.lost, s.settled, s.ready
+	unresponsive, replaced, settled, ready := s.unresponsive, s.replaced, s.settled, s.ready
 	s.mu.Unlock()
 	switch {
-	case lost || s.isDeposed():
-		return notStarted(target.Leaving, "the target is not this entry's any more"), false
-	case silent:
+	case replaced || s.isDeposed():
+		return notStarted(target.Leaving, "this entry no longer holds the target"), false
+	case unresponsive:
 		return notStarted(target.Unreachable, "the target does not answer"), false
 	case settled:
 		return target.Result{}, true
 	}
-	timer := time.NewTimer(answerTime)
+	timer := time.NewTimer(maxAnswerWait)
 	defer timer.Stop()
 	select {
 	case <-ready:
@@ -233,22 +233,22 @@
 	return notStarted(target.Unreachable, "the target has not answered yet"), false
 }
 
-// nextEpoch takes an epoch above all that this entry and earlier holders took;
-// the caller holds the lock. The target's own clock makes it grow from holder to
-// holder without any agreement, also while no voter is up.
-func (s *Session) nextEpoch() {
+// claimEpoch claims an epoch above all epochs of this entry and of earlier holders. Epochs derive
+// from the target's own clock, so they grow from holder to holder without any agreement, even
+// while no voter is up. The caller holds the lock.
+func (s *Session) claimEpoch() {
 	s.epoch = max(s.epoch+epochStep, s.clock.epoch(time.Now(), s.opts.Salt))
 	s.settled = false
-	s.renewReady()
+	s.resetReady()
 }
 
-// raiseEpoch takes a higher epoch for a target that stays settled: what runs there was
-// started by this session. It goes one step beyond its own orders and stays below those of
-// an entry that has taken the target meanwhile, which would otherwise lose it again. The
-// caller holds the lock.
+// raiseEpoch raises the epoch of a target that stays settled, because its runs were started by
+// this session. One step exceeds this session's own requests but stays below the epoch of an entry
+// that has taken the target in the meantime. A higher epoch would take the target back from that
+// entry. The caller holds the lock.
 func (s *Session) raiseEpoch() { s.epoch += epochStep }
 
-func (s *Session) renewReady() {
+func (s *Session) resetReady() {
 	select {
 	case <-s.ready:
 		s.ready = make(chan struct{})
@@ -256,8 +256,8 @@
 	}
 }
 
-// outdated reports whether an order was refused only because this entry itself
-// has taken a newer epoch since. Otherwise another entry has taken the target.
+// outdated reports whether a request was refused only because this entry has claimed a newer epoch
+// since. Otherwise another entry has taken the target, and the session yields.
 func (s *Session) outdated(refused uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -268,27 +268,27 @@
 	return false
 }
 
-// record notes what concerns the whole target.
+// record records an event that concerns the whole target.
 func (s *Session) record(kind timeline.Kind, format string, args ...any) {
 	s.opts.Events.Record(timeline.Event{Kind: kind, Target: s.opts.Target, Cause: fmt.Sprintf(format, args...)})
 }
 
-// yield gives the target up to the entry that has taken it, which is the one that
-// heard of it last; the caller holds the lock. Two entries that took it from each
-// other in turn would each stop what the other one started.
+// yield leaves the target to the entry that has taken it, which has the more recent information.
+// Two entries that kept taking the target from each other would each stop the runs of the other.
+// The caller holds the lock.
 func (s *Session) yield() {
 	if s.deposed {
 		return
 	}
 	s.deposed = true
-	s.record(timeline.TargetYielded, "a higher epoch than %d was seen there; %d runs", s.epoch, len(s.runs))
-	s.keepLooking()
+	s.record(timeline.TargetYielded, "the target has seen a higher epoch than %d; %d runs", s.epoch, len(s.runs))
+	s.ensurePolling()
 	if s.opts.Yielded != nil {
 		go s.opts.Yielded()
 	}
 }
 
-// Close implements holder.Connection: the session ends when nothing runs.
+// Close implements holder.Connection. The session ends when it has no runs left.
 func (s *Session) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -299,8 +299,8 @@
 	}
 }
 
-// Progress returns how much of a task's work is done, in percent; -1 while the
-// target has not said.
+// Progress returns the share of a task's work that is done, in percent, or -1 while the target has
+// not reported it.
 func (s *Session) Progress(submission job.ID, index int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -310,21 +310,21 @@
 	return -1
 }
 
-// finish delivers the end of a run.
-func (s *Session) finish(ref Ref, r *run, res target.Result) {
+// endRun delivers the end of a run.
+func (s *Session) endRun(ref Ref, r *run, res target.Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.end(ref, r, res)
+	s.endRunLocked(ref, r, res)
 }
 
-// end delivers the end of a run once; the caller holds the lock.
-func (s *Session) end(ref Ref, r *run, res target.Result) {
+// endRunLocked delivers the end of a run once. The caller holds the lock.
+func (s *Session) endRunLocked(ref Ref, r *run, res target.Result) {
 	if s.runs[ref] != r {
 		return
 	}
 	delete(s.runs, ref)
-	if r.watch != nil {
-		r.watch.Stop()
+	if r.paceTimer != nil {
+		r.paceTimer.Stop()
 	}
 	r.done <- res
 	if s.closing && len(s.runs) == 0 {
@@ -333,28 +333,29 @@
 	}
 }
 
-func (s *Session) hear(clockMillis int64) {
+func (s *Session) updateClock(clockMillis int64) {
 	if clockMillis == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.clock.set(time.Now(), clockMillis)
+	s.clock.update(time.Now(), clockMillis)
 }
 
 func notStarted(refusal target.Refusal, detail string) target.Result {
 	return target.Result{Status: job.TaskNotStarted, Reason: job.TargetRefused, Refusal: refusal, Detail: detail}
 }
 
-// lostWithTarget is a run that was lost with its target, which is known to have ended or was
-// silent for too long.
+// lostWithTarget returns the result of a run that was lost with its target, which is known to have
+// ended or was unresponsive for too long.
 func lostWithTarget(detail string, ended bool) target.Result {
 	res := erred(job.TargetLost, detail, true)
 	res.TargetEnded, res.TargetSilent = ended, !ended
 	return res
 }
 
-// erred is a run without a result. over says that it provably runs no more.
+// erred returns the result of a run that ended without an outcome of its task. over means that the
+// run is proven to have ended.
 func erred(reason job.Reason, detail string, over bool) target.Result {
 	return target.Result{Status: job.TaskErred, Reason: reason, Detail: detail, Over: over}
 }
--- a/internal/runs/session_test.go
+++ b/internal/runs/session_test.go
@@ -17,32 +17,31 @@
 
 var errLost = errors.New("no answer")
 
-// worker is a target in memory that keeps to the rules of the orders: a lease on
-// its own clock, one highest epoch, ends that are listed until acknowledged.
+// worker is a target in memory that follows the protocol: a lease on its own clock, one highest
+// epoch, and ends that are listed until they are acknowledged.
 type worker struct {
-	mu      sync.Mutex
-	born    time.Time
-	epoch   uint64
-	until   int64
-	running map[Ref]*task
-	highest map[Ref]int
-	ended   []End
-	last    uint64
-	acked   uint64
-	changed chan struct{}
-	// takes is how long a run takes; lose decides which answers are lost, delay
-	// how much later an order whose answer is lost is carried out.
-	takes  time.Duration
-	lose   func(order string) bool
-	delay  time.Duration
-	silent bool
-	// late, where it is set, says how much later in place of delay; loseTask is a
-	// submission of which all starts get lost; full says that nothing more fits.
-	late     func() time.Duration
-	loseTask job.ID
-	full     bool
-	// most is the largest number of runs of one task that were alive together
-	// over all workers of a test.
+	mu         sync.Mutex
+	clockStart time.Time
+	epoch      uint64
+	until      int64
+	running    map[Ref]*task
+	highest    map[Ref]int
+	ended      []End
+	last       uint64
+	acked      uint64
+	changed    chan struct{}
+	// runTime is how long a run takes. lose decides which answers are lost, and delay is how much
+	// later a request whose answer is lost is carried out.
+	runTime      time.Duration
+	lose         func(order string) bool
+	delay        time.Duration
+	unresponsive bool
+	// randomDelay replaces delay where it is set. All starts of the submission loseTask get lost.
+	// full means that there is no free capacity.
+	randomDelay func() time.Duration
+	loseTask    job.ID
+	full        bool
+	// starts counts the starts that were carried out.
 	starts int
 }
 
@@ -52,15 +51,16 @@
 }
 
 func newWorker() *worker {
-	w := &worker{born: time.Now().Add(-time.Hour), running: map[Ref]*task{}, highest: map[Ref]int{}, changed: make(chan struct{}), takes: 100 * time.Millisecond}
-	go w.lapse()
+	w := &worker{clockStart: time.Now().Add(-time.Hour), running: map[Ref]*task{}, highest: map[Ref]int{}, changed: make(chan struct{}), runTime: 100 * time.Millisecond}
+	go w.expireLeases()
 	return w
 }
 
-func (w *worker) clock() int64 { return time.Since(w.born).Milliseconds() }
+func (w *worker) clock() int64 { return time.Since(w.clockStart).Milliseconds() }
 
-// lapse kills what runs when the lease ends; it ends with the test's bubble.
-func (w *worker) lapse() {
+// expireLeases ends all runs when the lease expires. It returns after 40 s, so that the test's
+// bubble can end.
+func (w *worker) expireLeases() {
 	for range 4000 {
 		time.Sleep(10 * time.Millisecond)
 		w.mu.Lock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// end lists an end; the caller holds the lock.
+// end records the end of a run. The caller holds the lock.
 func (w *worker) end(ref Ref, how How) {
 	x := w.running[ref]
 	if x == nil {
@@ -92,17 +92,17 @@
 	w.until = max(w.until, min(until, most))
 }
 
-// carry carries an order out, now or later, and loses its answer where asked.
-func (w *worker) carry(ctx context.Context, order string, do func() Reply) (Reply, error) {
+// carryOut carries out a request, now or later, and loses its answer where lose says so.
+func (w *worker) carryOut(ctx context.Context, order string, do func() Reply) (Reply, error) {
 	w.mu.Lock()
-	silent := w.silent
+	unresponsive := w.unresponsive
 	lost := w.lose != nil && w.lose(order)
 	delay := w.delay
-	if lost && w.late != nil {
-		delay = w.late()
+	if lost && w.randomDelay != nil {
+		delay = w.randomDelay()
 	}
 	w.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return Reply{}, errLost
 	}
@@ -139,7 +139,7 @@
 		<-ctx.Done()
 		return Reply{}, errLost
 	}
-	return w.carry(ctx, "start", func() Reply {
+	return w.carryOut(ctx, "start", func() Reply {
 		r := Reply{Clock: w.clock()}
 		switch {
 		case w.fenced(o.Epoch):
@@ -156,7 +156,7 @@
 			w.highest[o.Task] = o.Run
 			w.starts++
 			ref := o.Task
-			w.running[ref] = &task{run: o.Run, timer: time.AfterFunc(w.takes, func() {
+			w.running[ref] = &task{run: o.Run, timer: time.AfterFunc(w.runTime, func() {
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				w.end(ref, Done)
@@ -167,7 +167,7 @@
 }
 
 func (w *worker) Stop(ctx context.Context, o StopOrder) (Reply, error) {
-	return w.carry(ctx, "stop", func() Reply {
+	return w.carryOut(ctx, "stop", func() Reply {
 		r := Reply{Clock: w.clock()}
 		if w.fenced(o.Epoch) {
 			r.Refusal = Fenced
@@ -181,7 +181,7 @@
 
 func (w *worker) Renew(ctx context.Context, o RenewOrder) (Look, error) {
 	var l Look
-	reply, err := w.carry(ctx, "renew", func() Reply {
+	reply, err := w.carryOut(ctx, "renew", func() Reply {
 		r := Reply{Clock: w.clock()}
 		if w.fenced(o.Epoch) {
 			r.Refusal = Fenced
@@ -233,28 +233,28 @@
 	return target.Task{Submission: job.ID(id), Run: run}
 }
 
-// settle lets everything that a test left behind end.
-func settle() { time.Sleep(time.Minute) }
+// drain waits until everything that a test left behind has ended.
+func drain() { time.Sleep(time.Minute) }
 
-// A run that takes three leases ends as done: its lease is renewed all the while,
-// and its end is acknowledged though nothing follows it.
+// A run that takes three leases must end as done: its lease is renewed throughout, and its end is
+// acknowledged although no further run follows.
 func TestRunOutlivesManyLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes = 3 * DefaultLease
+		w.runTime = 3 * DefaultLease
 		s := NewSession(Options{Orders: w})
 		res := s.Start(t.Context(), taskOf("a", 1))
 		qt.Assert(t, res.Status, qt.Equals, job.TaskDone)
-		qt.Assert(t, res.Ran >= w.takes, qt.IsTrue)
+		qt.Assert(t, res.Ran >= w.runTime, qt.IsTrue)
 		time.Sleep(time.Second)
 		w.set(func() { qt.Check(t, w.acked, qt.Equals, uint64(1)) })
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// A caller cancels while the entry still waits for a target that it has just taken.
-// The task must not start once the target answers.
+// A caller cancels while the entry still waits for a target that it has just taken. The task must
+// not start once the target answers.
 func TestUnwantedStartIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
@@ -265,13 +265,13 @@
 		qt.Assert(t, res.Status, qt.Equals, job.TaskNotStarted)
 		w.set(func() { qt.Check(t, len(w.running)+len(w.ended), qt.Equals, 0) })
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// The answer to a start is lost and the order carried out at once, in two seconds,
-// or never. The caller gets its result, or the task comes back as never started;
-// in no case does a start that was given up run later.
+// The answer to a start is lost, and the request is carried out at once, after a delay, or never.
+// The caller must get its result, or the task must be reported as not started. An abandoned start
+// must never run later.
 func TestStartWithoutAnAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		delay time.Duration
@@ -286,7 +286,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorker()
-				w.takes, w.delay = 600*time.Millisecond, c.delay
+				w.runTime, w.delay = 600*time.Millisecond, c.delay
 				w.lose = func(order string) bool { return order == "start" }
 				s := NewSession(Options{Orders: w})
 				res := s.Start(t.Context(), taskOf("a", 1))
@@ -294,23 +294,22 @@
 				time.Sleep(5 * time.Second)
 				w.set(func() { qt.Check(t, w.starts, qt.Equals, c.runs) })
 				s.Close()
-				settle()
+				drain()
 			})
 		})
 	}
 }
 
-// A target falls silent with a run on it. The run is called over only when its
-// lease has certainly run out, and the task may then run elsewhere without ever
-// running twice at a time.
-func TestSilentTargetLapses(t *testing.T) {
+// A target becomes unresponsive with a run on it. The run must count as over only when its lease
+// has certainly expired, so that the task can go elsewhere without ever running twice at once.
+func TestLeaseOfUnresponsiveTargetExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes = time.Hour
+		w.runTime = time.Hour
 		s := NewSession(Options{Orders: w})
 		go func() {
 			time.Sleep(500 * time.Millisecond)
-			w.set(func() { w.silent = true })
+			w.set(func() { w.unresponsive = true })
 		}()
 		res := s.Start(t.Context(), taskOf("a", 1))
 		qt.Assert(t, res.Status, qt.Equals, job.TaskErred)
@@ -319,29 +318,28 @@
 		qt.Assert(t, res.Ran < 3*time.Second, qt.IsTrue, qt.Commentf("%v", res.Ran))
 		refused := s.Start(t.Context(), taskOf("b", 1))
 		qt.Assert(t, refused.Refusal, qt.Equals, target.Unreachable)
-		w.set(func() { w.silent = false })
+		w.set(func() { w.unresponsive = false })
 		time.Sleep(time.Second)
-		w.set(func() { w.takes = 10 * time.Millisecond })
+		w.set(func() { w.runTime = 10 * time.Millisecond })
 		qt.Assert(t, s.Start(t.Context(), taskOf("b", 2)).Status, qt.Equals, job.TaskDone)
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// An entry takes a target over that another one still believes to hold, such as
-// one that was paused. What the earlier one left running is stopped before
-// anything starts, the earlier one yields, and neither takes it from the other in
-// turn.
+// An entry takes a target that another entry, such as one that was paused, still believes to hold.
+// Runs of the earlier holder must be stopped before anything starts, the earlier holder must
+// yield, and neither may take the target back.
 func TestLaterHolderFencesTheEarlier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes = 10 * time.Second
+		w.runTime = 10 * time.Second
 		yielded := make(chan struct{}, 1)
 		first := NewSession(Options{Orders: w, Salt: 1, Yielded: func() { yielded <- struct{}{} }})
 		lost := make(chan target.Result, 1)
 		go func() { lost <- first.Start(t.Context(), taskOf("a", 1)) }()
 		time.Sleep(time.Second)
-		w.set(func() { w.takes = 100 * time.Millisecond })
+		w.set(func() { w.runTime = 100 * time.Millisecond })
 		second := NewSession(Options{Orders: w, Salt: 2, Yielded: func() { t.Error("the later holder yields") }})
 		qt.Assert(t, second.Start(t.Context(), taskOf("b", 1)).Status, qt.Equals, job.TaskDone)
 		res := <-lost
@@ -352,16 +350,16 @@
 		qt.Assert(t, second.Start(t.Context(), taskOf("d", 1)).Status, qt.Equals, job.TaskDone)
 		first.Close()
 		second.Close()
-		settle()
+		drain()
 	})
 }
 
-// A caller leaves: its run is stopped at the target within moments, also when the
-// answer to the first stop is lost and never carried out.
+// A caller disconnects. Its run must be stopped at the target within 500 ms, even when the first
+// stop request is lost and never carried out.
 func TestStopReachesTheTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes, w.delay = time.Hour, time.Hour
+		w.runTime, w.delay = time.Hour, time.Hour
 		losses := 1
 		w.lose = func(order string) bool {
 			losses--
@@ -379,13 +377,13 @@
 		qt.Assert(t, time.Since(begun) < 500*time.Millisecond, qt.IsTrue)
 		w.set(func() { qt.Check(t, w.running, qt.HasLen, 0) })
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// A submission is sent again through another entry, which numbers its runs from 1
-// anew and meets the target that ran it before.
-func TestLaterOwnerTakesAHigherNumber(t *testing.T) {
+// A submission is sent again through another entry, which numbers its runs from 1 again and
+// reaches the target that ran it before.
+func TestLaterOwnerGetsAHigherRunNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		s := NewSession(Options{Orders: w})
@@ -393,14 +391,13 @@
 		qt.Assert(t, s.Start(t.Context(), taskOf("a", 1)).Status, qt.Equals, job.TaskDone)
 		w.set(func() { qt.Check(t, w.starts, qt.Equals, 2) })
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// One answer in ten is lost for a minute, each order carried out or not, now or
-// seconds later. Every start has one outcome, and what is called unstarted or over
-// does not run at that moment.
-func TestLossyOrdersKeepTheirWord(t *testing.T) {
+// One answer in ten is lost, and its request is carried out seconds later. Every start must have
+// one result, and a run reported as not started or over must not be active at that moment.
+func TestOutcomesHoldWhileAnswersGetLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		n := 0
@@ -428,16 +425,16 @@
 		time.Sleep(10 * time.Second)
 		w.set(func() { qt.Check(t, w.running, qt.HasLen, 0) })
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// A run stands still on a target that answers all else. It is stopped in time for
-// the task to run elsewhere, and not taken for a cancelled one.
-func TestRunThatStandsStillIsMoved(t *testing.T) {
+// A run makes no progress on a target that answers normally otherwise. It must be stopped early
+// enough for the task to run elsewhere, and must not count as cancelled.
+func TestStalledRunIsMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes = time.Hour
+		w.runTime = time.Hour
 		s := NewSession(Options{Orders: w})
 		task := taskOf("a", 1)
 		task.Expected = 100 * time.Millisecond
@@ -447,6 +444,6 @@
 		qt.Assert(t, res.Over, qt.IsTrue)
 		qt.Assert(t, res.Ran < 400*time.Millisecond, qt.IsTrue, qt.Commentf("%v", res.Ran))
 		s.Close()
-		settle()
+		drain()
 	})
 }
--- a/internal/runs/review_test.go
+++ b/internal/runs/stale_start_test.go
@@ -20,19 +20,20 @@
 	return w.running[ref] != nil
 }
 
-// A start is carried out at once and its answer gets lost. Another entry takes the target
-// before the order is sent again, so the repetition is refused for its epoch. The run is
-// there all the same. Called not started, the task would be run elsewhere beside it.
-func TestRepetitionFencedByAnotherEntryDoesNotUnstartTheRun(t *testing.T) {
+// A start is carried out at once and its answer gets lost. Another entry takes the target before
+// the request is sent again, so the second copy is refused for its epoch, although the run exists.
+// If the run were reported as not started, the task would also be run elsewhere.
+func TestFencedCopyDoesNotMarkRunNotStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes = 10 * time.Second
+		w.runTime = 10 * time.Second
 		first := NewSession(Options{Orders: w, Salt: 1})
 		time.Sleep(time.Second)
 		w.set(func() { w.lose = loseFirst("start", 1) })
 		taken := make(chan *Session, 1)
 		time.AfterFunc(10*time.Millisecond, func() {
-			// Its stops get lost for a while, so that the stray lives on until its lease ends.
+			// Stop requests get lost for a while, so that the stray run goes on until its lease
+			// ends.
 			w.set(func() { w.delay, w.lose = time.Hour, func(order string) bool { return order == "stop" } })
 			taken <- NewSession(Options{Orders: w, Salt: 2})
 		})
@@ -42,40 +43,40 @@
 		w.set(func() { w.lose = nil })
 		first.Close()
 		(<-taken).Close()
-		settle()
+		drain()
 	})
 }
 
-// An entry has lost a target to another one and knows it, while one of its own starts is
-// still without an answer. It must not take the target back for the sake of that start:
-// what the other entry started there would be stopped, and its callers would wait anew.
-func TestDoubtTakesNoTargetBack(t *testing.T) {
+// An entry knows that it has lost a target to another entry, while one of its own starts is still
+// without an answer. It must not take the target back to resolve that start: the other entry's
+// runs would be stopped, and its callers would have to wait again.
+func TestDoubtedStartDoesNotReclaimTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes = 10 * time.Second
+		w.runTime = 10 * time.Second
 		first := NewSession(Options{Orders: w, Salt: 1})
 		time.Sleep(time.Second)
-		go first.Start(context.Background(), taskOf("other", 1)) // keeps the looks of the first going
+		go first.Start(context.Background(), taskOf("other", 1)) // keeps the first session polling
 		time.Sleep(time.Second)
 		second := NewSession(Options{Orders: w, Salt: 2, Yielded: func() { t.Error("the later holder yields") }})
 		w.set(func() { w.loseTask = "a" })
 		go first.Start(context.Background(), taskOf("a", 1))
 		time.Sleep(70 * time.Millisecond)
-		w.set(func() { w.takes = time.Second })
+		w.set(func() { w.runTime = time.Second })
 		res := second.Start(t.Context(), taskOf("b", 1))
 		qt.Check(t, first.isDeposed(), qt.IsTrue)
 		qt.Check(t, res.Status, qt.Equals, job.TaskDone, qt.Commentf("%v %q", res.Status, res.Detail))
 		first.Close()
 		second.Close()
-		settle()
+		drain()
 	})
 }
 
-// lateWorker holds the starts of a task up, and breaks looks off.
+// lateWorker delays the starts of one task, and makes polls fail.
 type lateWorker struct {
 	*worker
-	held Ref
-	// released is closed once the starts go on, broken once looks break off.
+	delayed Ref
+	// released is closed when the delayed starts may go on, broken when polls begin to fail.
 	released, broken chan struct{}
 }
 
@@ -98,7 +99,7 @@
 }
 
 func (w *lateWorker) Start(ctx context.Context, o StartOrder) (Reply, error) {
-	if o.Task == w.held {
+	if o.Task == w.delayed {
 		select {
 		case <-w.released:
 		case <-ctx.Done():
@@ -108,20 +109,20 @@
 	return w.worker.Start(ctx, o)
 }
 
-// Looks at a target break off while a start for it is under way with the short lease that an owner
-// whose word is old leaves. The lease has run out, all runs there are called over, and
-// only then comes the answer that the start was too late. It must not be sent again: its
-// task runs elsewhere by now.
+// Polls of a target fail while a start is in transit with the short lease that is left when the
+// last report of an owner is old. The lease expires, all runs there are reported as over, and only
+// then the answer arrives that the start was late. The start must not be sent again: its task runs
+// elsewhere by now.
 func TestAStartThatIsOverIsNotSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &lateWorker{worker: newWorker(), held: Ref{"b", 0}, released: make(chan struct{}), broken: make(chan struct{})}
-		w.takes = time.Hour
+		w := &lateWorker{worker: newWorker(), delayed: Ref{"b", 0}, released: make(chan struct{}), broken: make(chan struct{})}
+		w.runTime = time.Hour
 		s := NewSession(Options{Orders: w})
 		time.Sleep(time.Second)
 		s.mu.Lock()
 		for range 20 {
-			s.answers.learn(100 * time.Millisecond) // an entry whose answers take long
-			s.answers.learn(200 * time.Millisecond)
+			s.answers.record(100 * time.Millisecond) // answers are slow
+			s.answers.record(200 * time.Millisecond)
 		}
 		s.mu.Unlock()
 		bound := time.Now().Add(1200 * time.Millisecond)
@@ -139,26 +140,26 @@
 			time.Sleep(10 * time.Millisecond)
 			began = began || w.alive(Ref{"b", 0})
 		}
-		qt.Check(t, began, qt.IsFalse, qt.Commentf("a task that was called over begins to run"))
+		qt.Check(t, began, qt.IsFalse, qt.Commentf("a task that was reported as over starts to run"))
 		s.Close()
-		settle()
+		drain()
 	})
 }
 
-// slowWorker answers each order some time after it has carried it out; it loses none.
+// slowWorker delays each answer after it has carried out the request. It loses none.
 type slowWorker struct {
 	*worker
-	takes func() time.Duration
-	calls map[string]int
+	answerDelay func() time.Duration
+	calls       map[string]int
 }
 
 func (w *slowWorker) count(kind string) {
 	w.set(func() { w.calls[kind]++ })
 }
 
-func (w *slowWorker) back(ctx context.Context) error {
+func (w *slowWorker) delayAnswer(ctx context.Context) error {
 	select {
-	case <-time.After(w.takes()):
+	case <-time.After(w.answerDelay()):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -168,7 +169,7 @@
 func (w *slowWorker) Start(ctx context.Context, o StartOrder) (Reply, error) {
 	w.count("start")
 	r, err := w.worker.Start(ctx, o)
-	if e := w.back(ctx); e != nil {
+	if e := w.delayAnswer(ctx); e != nil {
 		return Reply{}, e
 	}
 	return r, err
@@ -177,22 +178,21 @@
 func (w *slowWorker) Renew(ctx context.Context, o RenewOrder) (Look, error) {
 	w.count("renew")
 	l, err := w.worker.Renew(ctx, o)
-	if e := w.back(ctx); e != nil {
+	if e := w.delayAnswer(ctx); e != nil {
 		return Look{}, e
 	}
 	return l, err
 }
 
-// The way to a target becomes slow from one moment to the next, by 150 ms an answer; no
-// order is lost. Its tasks are still done, a bit later, and the target does not get
-// several times the orders for them: a way or a processor that is short would be so the
-// more.
+// The link to a target suddenly becomes slow, by 150 ms for each answer; no request is lost. Tasks
+// must still be completed, slightly later, and the number of requests must not multiply, since
+// that would slow down a link or a processor that is short of capacity even more.
 func TestSlowAnswersMultiplyNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var slow atomic.Int64
 		slow.Store(int64(3 * time.Millisecond))
-		w := &slowWorker{worker: newWorker(), takes: func() time.Duration { return time.Duration(slow.Load()) }, calls: map[string]int{}}
-		w.worker.takes = 60 * time.Millisecond
+		w := &slowWorker{worker: newWorker(), answerDelay: func() time.Duration { return time.Duration(slow.Load()) }, calls: map[string]int{}}
+		w.worker.runTime = 60 * time.Millisecond
 		s := NewSession(Options{Orders: w})
 		time.Sleep(time.Second)
 		for i := range 20 {
@@ -218,6 +218,6 @@
 			t.Logf("%d done (mean %v), %d not, %d starts sent, %d looks in 20 s", done, took/time.Duration(max(done, 1)), refused, w.calls["start"], w.calls["renew"])
 		})
 		s.Close()
-		settle()
+		drain()
 	})
 }
--- a/internal/runs/taken_test.go
+++ b/internal/runs/taken_test.go
@@ -11,15 +11,15 @@
 	"github.com/vanillagrade/vanillagrade/internal/target"
 )
 
-// A start is carried out and its answer gets lost. Before the order is sent again another
-// entry takes the target, so that the copy is refused. That the copy did nothing says
-// nothing of the first one: called not started, the task would go elsewhere while its run
-// is alive, until the other entry stops it as a stray. It is over only when its lease has
-// run out for certain, since this entry can't ask for it any more.
+// A start is carried out and its answer gets lost. Another entry takes the target before the
+// request is sent again, so that the second copy is refused. That copy did nothing, which proves
+// nothing about the first one: if the run were reported as not started, the task would go
+// elsewhere while the run is active, until the other entry stops it as a stray. The run is over
+// only when its lease has certainly expired, since this entry can no longer poll the target.
 func TestAStartWithoutAnswerOnATakenTargetIsInDoubt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		w.takes = time.Hour
+		w.runTime = time.Hour
 		first := NewSession(Options{Orders: w, Salt: 1})
 		time.Sleep(time.Second)
 		w.set(func() { w.lose = loseFirst("start", 1) })
@@ -31,13 +31,13 @@
 			ended <- res
 		}()
 		time.Sleep(5 * time.Millisecond)
-		w.set(func() { w.epoch += 1 << 40 }) // another entry's, which has not looked yet
+		w.set(func() { w.epoch += 1 << 40 }) // of another entry, which has not polled yet
 		res := <-ended
 		qt.Check(t, alive, qt.IsFalse)
 		qt.Check(t, res.Status, qt.Equals, job.TaskErred)
 		qt.Check(t, res.Over, qt.IsTrue)
 		w.set(func() { qt.Check(t, w.starts, qt.Equals, 1) })
 		first.Close()
-		settle()
+		drain()
 	})
 }
--- a/internal/runs/wire_test.go
+++ b/internal/runs/wire_test.go
@@ -13,20 +13,20 @@
 	"github.com/vanillagrade/vanillagrade/internal/target"
 )
 
-// wire carries orders to a worker: each way takes some time of its own, now and then
+// wire transports requests to a worker. Each direction has its own transit time, sometimes
 // seconds, and answers get lost.
 type wire struct {
-	w  *worker
-	mu sync.Mutex
-	r  *rand.Rand
-	p  int // how many in a hundred are harmed, each way
+	w           *worker
+	mu          sync.Mutex
+	r           *rand.Rand
+	harmPercent int // percentage of messages that are slow, and of answers lost
 }
 
 func (x *wire) times() (there, back time.Duration, lost bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	d := func() time.Duration {
-		if x.r.IntN(100) >= x.p {
+		if x.r.IntN(100) >= x.harmPercent {
 			return time.Duration(1+x.r.IntN(3)) * time.Millisecond
 		}
 		switch x.r.IntN(3) {
@@ -37,7 +37,7 @@
 		}
 		return time.Duration(x.r.IntN(5000)) * time.Millisecond
 	}
-	return d(), d(), x.r.IntN(100) < x.p
+	return d(), d(), x.r.IntN(100) < x.harmPercent
 }
 
 func (x *wire) call(ctx context.Context, do func()) error {
@@ -85,10 +85,10 @@
 
 func (x *wire) Close() {}
 
-// Orders and answers are slow, overtake each other or get lost, now and then the owner of a
-// task is not heard any more, and targets pass from one holder to the next while tasks run.
-// A task that is called not started or over is run elsewhere at once. No user may have a
-// task of theirs run at two targets at one time.
+// Requests and answers are slow, overtake each other or get lost, the owner of a task sometimes
+// becomes unreachable, and targets pass from one holder to the next while tasks run. A task that
+// is reported as not started or over is run elsewhere at once. No task may ever run on two targets
+// at the same time.
 func TestNoTaskRunsTwiceWhileHoldersChange(t *testing.T) {
 	const takeovers, owners = true, true
 	n := 130
@@ -98,21 +98,21 @@
 	for seed := range uint64(n) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 7))
-			p := []int{5, 20, 50}[r.IntN(3)]
+			harmPercent := []int{5, 20, 50}[r.IntN(3)]
 			var mu sync.Mutex
-			lot := func(n int) int { mu.Lock(); defer mu.Unlock(); return r.IntN(n) }
-			const W = 3
-			ws := make([]*worker, W)
-			ss := make([]*Session, W)
+			intN := func(n int) int { mu.Lock(); defer mu.Unlock(); return r.IntN(n) }
+			const targetCount = 3
+			workers := make([]*worker, targetCount)
+			sessions := make([]*Session, targetCount)
 			open := func(i int) *Session {
-				return NewSession(Options{Orders: &wire{w: ws[i], r: rand.New(rand.NewPCG(seed, uint64(lot(1<<30)))), p: p}, Salt: uint16(lot(256))})
+				return NewSession(Options{Orders: &wire{w: workers[i], r: rand.New(rand.NewPCG(seed, uint64(intN(1<<30)))), harmPercent: harmPercent}, Salt: uint16(intN(256))})
 			}
-			for i := range ws {
-				ws[i] = newWorker()
-				ws[i].takes = []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, 700 * time.Millisecond}[lot(3)]
-				ss[i] = open(i)
+			for i := range workers {
+				workers[i] = newWorker()
+				workers[i].runTime = []time.Duration{30 * time.Millisecond, 200 * time.Millisecond, 700 * time.Millisecond}[intN(3)]
+				sessions[i] = open(i)
 			}
-			get := func(i int) *Session { mu.Lock(); defer mu.Unlock(); return ss[i] }
+			get := func(i int) *Session { mu.Lock(); defer mu.Unlock(); return sessions[i] }
 			time.Sleep(time.Second)
 			begun := time.Now()
 			var stop atomic.Bool
@@ -126,10 +126,10 @@
 						all.Add(1)
 						for run := 1; run < 12 && time.Since(begun) < length; run++ {
 							time.Sleep(5 * time.Millisecond)
-							at := lot(W)
+							at := intN(targetCount)
 							s := get(at)
 							task := target.Task{Submission: ref.Submission, Index: ref.Index, Run: run}
-							if !owners || lot(10) != 0 {
+							if !owners || intN(10) != 0 {
 								res := s.Start(context.Background(), task)
 								if res.Status == job.TaskDone {
 									done.Add(1)
@@ -140,8 +140,9 @@
 								}
 								continue
 							}
-							// the owner's proof ends at some moment; its caller has it run anew 1.3 s later
-							proof := time.Now().Add(time.Duration(lot(600)) * time.Millisecond)
+							// The owner's proof expires at some moment; its caller has the task
+							// run again 1.3 s later.
+							proof := time.Now().Add(time.Duration(intN(600)) * time.Millisecond)
 							last := func() time.Time {
 								n := time.Now()
 								if n.Before(proof) {
@@ -165,8 +166,8 @@
 							s.Ending(ref.Submission, ref.Index)
 							go s.Stop(context.Background(), ref.Submission, ref.Index)
 							time.Sleep(350 * time.Millisecond)
-							// a later owner, at another target
-							for o := range W {
+							// A later owner runs the task on another target.
+							for o := range targetCount {
 								if o != at {
 									if res := get(o).Start(context.Background(), target.Task{Submission: ref.Submission, Index: ref.Index, Run: 1}); res.Status == job.TaskDone {
 										done.Add(1)
@@ -182,12 +183,12 @@
 			if takeovers {
 				g.Go(func() {
 					for time.Since(begun) < length {
-						time.Sleep(time.Duration(200+lot(2000)) * time.Millisecond)
-						i := lot(W)
+						time.Sleep(time.Duration(200+intN(2000)) * time.Millisecond)
+						i := intN(targetCount)
 						s := open(i)
 						mu.Lock()
-						old := ss[i]
-						ss[i] = s
+						old := sessions[i]
+						sessions[i] = s
 						mu.Unlock()
 						old.Close()
 					}
@@ -198,7 +199,7 @@
 				for !stop.Load() {
 					time.Sleep(time.Millisecond)
 					n := map[Ref]int{}
-					for _, w := range ws {
+					for _, w := range workers {
 						w.set(func() {
 							for ref := range w.running {
 								n[ref]++
@@ -208,18 +209,18 @@
 					for ref, c := range n {
 						if c > 1 && !seen[ref] {
 							seen[ref] = true
-							t.Errorf("seed %d p %d: %v twice at %v", seed, p, ref, time.Since(begun))
+							t.Errorf("seed %d p %d: %v twice at %v", seed, harmPercent, ref, time.Since(begun))
 						}
 					}
 				}
 			}()
 			g.Wait()
 			stop.Store(true)
-			for _, s := range ss {
+			for _, s := range sessions {
 				s.Close()
 			}
-			settle()
-			t.Logf("seed %d p %d: %d of %d done", seed, p, done.Load(), all.Load())
+			drain()
+			t.Logf("seed %d p %d: %d of %d done", seed, harmPercent, done.Load(), all.Load())
 		})
 	}
 }
