--- a/internal/register/apply.go
+++ b/internal/register/apply.go
@@ -17,50 +17,52 @@
 
 // Errors of Apply, Confirm and ReplaceVoter.
 const (
-	// ErrUnavailable says that no majority answered and that this call certainly
-	// had nothing accepted. It knows nothing of an earlier call of the same change:
-	// whose outcome was unknown may have been accepted by that one.
+	// ErrUnavailable means that no majority answered and that this call certainly
+	// changed nothing. It makes no statement about earlier calls: a change whose
+	// outcome was unknown may have been accepted by an earlier call.
 	ErrUnavailable = errors.ConstError("no majority of the voters answers; this call changed nothing")
-	// ErrUnknown says that the change may have been accepted. Sending it again
-	// with the same change id gives its outcome.
+	// ErrUnknown means that the change may have been accepted. Sending the change
+	// again with the same change id returns its outcome.
 	ErrUnknown = errors.ConstError("no majority of the voters answered in time; the change may have been accepted")
 )
 
-// Accepted is an accepted configuration.
+// Accepted identifies an accepted configuration.
 type Accepted struct {
 	Number   uint64
 	Digest   string
 	ChangeID string
 }
 
-// Conflict is the error of a change that lost: it names what stands instead.
+// Conflict is the error of a rejected change. It identifies the accepted change
+// that conflicts with it.
 type Conflict struct {
 	Number   uint64
 	Digest   string
 	ChangeID string
-	// Reused is set if the change id itself belongs to another file.
+	// Reused is set if the change id was already used for another file.
 	Reused bool
 }
 
-// Error names the winner.
+// Error describes the accepted change.
 func (c *Conflict) Error() string {
 	if c.Reused {
 		return fmt.Sprintf("change id %s was used for another file: number %d, digest %s", c.ChangeID, c.Number, c.Digest)
 	}
-	return fmt.Sprintf("number %d stands with digest %s by change %s", c.Number, c.Digest, c.ChangeID)
+	return fmt.Sprintf("number %d was accepted with digest %s by change %s", c.Number, c.Digest, c.ChangeID)
 }
 
 const (
 	// applyTimeout bounds an apply whose context has no deadline.
 	applyTimeout = 10 * time.Second
-	// answerMargin is what an entry keeps of its time for the answer's way.
+	// answerMargin is the part of the remaining time that is reserved for the
+	// transit of the answer.
 	answerMargin = 100 * time.Millisecond
 )
 
-// Apply has a file accepted by a majority of the voters. It may be called on any
-// entry. Its error is config.Problems, *Conflict, ErrUnavailable or ErrUnknown.
-// Calling it again with the same change id and file is safe and returns the
-// outcome of the first call.
+// Apply proposes a file and returns once a majority of the voters has accepted it.
+// It may be called on any entry. Its error is config.Problems, *Conflict,
+// ErrUnavailable or ErrUnknown. A repeated call with the same change id and file is
+// safe and returns the outcome of the first call.
 func (r *Register) Apply(ctx context.Context, changeID string, body []byte) (Accepted, error) {
 	if changeID == "" || len(changeID) > consensus.MaxChangeID {
 		return Accepted{}, errors.NotValidf("change id of %d bytes (1 to %d)", len(changeID), consensus.MaxChangeID)
@@ -70,34 +72,33 @@
 		return Accepted{}, err
 	}
 	change := consensus.Change{ID: changeID, Number: file.Number, Digest: consensus.DigestOf(body)}
-	r.ev.Record(timeline.Event{
+	r.events.Record(timeline.Event{
 		Kind:  timeline.ConfigurationTry,
 		Cause: fmt.Sprintf("number %d, digest %s, change %s", change.Number, change.Digest, change.ID),
 	})
-	accepted, err := r.carryOut(ctx, consensus.Command{
+	accepted, err := r.execute(ctx, consensus.Command{
 		Kind: consensus.Configure, Change: change, Body: pack(body), At: r.clock().UnixMilli(),
 	})
 	if err == nil {
-		r.awaitInForce(ctx, accepted.Number)
+		r.awaitInstalled(ctx, accepted.Number)
 	}
 	return accepted, err
 }
 
-// inForceTime bounds how long an accepted change waits to come into force at the entry
-// that was asked: some writes of a disk that is slow.
-const inForceTime = 500 * time.Millisecond
+// installTimeout bounds the wait until an accepted change takes effect on the entry
+// that received the call: it allows for several writes to a slow disk.
+const installTimeout = 500 * time.Millisecond
 
-// awaitInForce waits until this entry serves by the change that it is about to call
-// accepted. A majority accepts some milliseconds before: without the wait, what an
-// operator sends here right after the answer would be met by the file before, or be
-// refused as not configured. The change stands either way, so the wait is bounded and its
-// end is no error.
-func (r *Register) awaitInForce(ctx context.Context, number uint64) {
-	timer := time.NewTimer(inForceTime)
+// awaitInstalled waits until the accepted change is in effect on this entry. The majority
+// accepts a change some milliseconds earlier: without the wait, a job sent here right
+// after the answer would run under the previous file or be refused as not configured. The
+// change remains accepted in any case, so the wait is bounded and its timeout is no error.
+func (r *Register) awaitInstalled(ctx context.Context, number uint64) {
+	timer := time.NewTimer(installTimeout)
 	defer timer.Stop()
 	for {
 		changed := r.nextChange()
-		if held, _ := r.Summary(); held >= number {
+		if current, _ := r.Summary(); current >= number {
 			return
 		}
 		select {
@@ -110,52 +111,53 @@
 	}
 }
 
-// Confirm returns the latest accepted configuration, as a majority of the voters
-// knows it at some moment during the call.
+// Confirm returns the configuration that a majority of the voters holds as the
+// latest accepted one at some moment during the call.
 func (r *Register) Confirm(ctx context.Context) (Accepted, error) {
-	return r.carryOut(ctx, consensus.Command{Kind: consensus.Read})
+	return r.execute(ctx, consensus.Command{Kind: consensus.Read})
 }
 
-// ReplaceVoter puts the disk of entry updated in the place of entry old's. It
-// returns when the new voter and a majority hold the change, so that the loss of
-// another voter right after loses nothing. Both names may be equal: an entry
-// whose disk was lost and that came back with an empty one.
+// ReplaceVoter makes the disk of entry updated a voter in place of the disk of entry
+// old. It returns when the new voter and a majority hold the change, so that losing
+// another voter right afterwards loses no data. Both names are equal where an entry
+// lost its disk and restarted with an empty one.
 func (r *Register) ReplaceVoter(ctx context.Context, old, updated job.EntryID) error {
 	voter, err := r.identify(ctx, updated)
 	if err != nil {
 		return errors.Annotatef(err, "asking %s for its disk", updated)
 	}
-	_, err = r.carryOut(ctx, consensus.Command{Kind: consensus.Replace, Old: old, New: voter})
+	_, err = r.execute(ctx, consensus.Command{Kind: consensus.Replace, Old: old, New: voter})
 	return errors.Annotatef(err, "replacing %s by %s", old, updated)
 }
 
+// identify returns the voter identity of an entry's disk.
 func (r *Register) identify(ctx context.Context, entry job.EntryID) (consensus.Voter, error) {
-	var answer pulled
+	var answer pullResponse
 	if entry == r.self {
 		r.mu.Lock()
 		if r.node != nil {
 			answer.Self = r.node.Self
 		}
 		r.mu.Unlock()
-	} else if err := r.mesh.Call(ctx, entry, peer.ConfigPull, pull{Version: r.held()}, &answer); err != nil {
+	} else if err := r.mesh.Call(ctx, entry, peer.ConfigPull, pullRequest{Version: r.currentVersion()}, &answer); err != nil {
 		return consensus.Voter{}, errors.Annotatef(ErrUnavailable, "%v", err)
 	}
 	if answer.Self.Identity == "" {
 		return consensus.Voter{}, errors.NotFoundf("data folder of entry %s", entry)
 	}
-	r.noteDisk(entry, answer.Self.Identity)
+	r.recordDisk(entry, answer.Self.Identity)
 	return answer.Self, nil
 }
 
-// carryOut tries the voters one after the other, this entry first if it is one.
-// Trying a second one after an unknown outcome is safe: a change carries its id,
-// and the register takes each id once.
-func (r *Register) carryOut(ctx context.Context, c consensus.Command) (Accepted, error) {
-	return r.carryOutAt(ctx, c, r.candidates())
+// execute submits the command to the voters one after the other, to this entry first
+// if it votes. Trying another voter after an unknown outcome is safe: a change
+// carries its id, and the register accepts each id once.
+func (r *Register) execute(ctx context.Context, c consensus.Command) (Accepted, error) {
+	return r.executeAt(ctx, c, r.candidates())
 }
 
-// carryOutAt is carryOut with the voters to try, in order.
-func (r *Register) carryOutAt(ctx context.Context, c consensus.Command, candidates []job.EntryID) (Accepted, error) {
+// executeAt is execute with an explicit ordered list of voters.
+func (r *Register) executeAt(ctx context.Context, c consensus.Command, candidates []job.EntryID) (Accepted, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, applyTimeout)
@@ -168,13 +170,13 @@
 		}
 		deadline, _ := ctx.Deadline()
 		wait := time.Until(deadline) / time.Duration(len(candidates)-i)
-		o := r.try(ctx, to, c, wait)
+		o := r.submitTo(ctx, to, c, wait)
 		switch o.Kind {
 		case consensus.Unavailable:
 		case consensus.Unknown:
 			unknown = true
 		default:
-			return result(o)
+			return resultOf(o)
 		}
 	}
 	if unknown {
@@ -183,7 +185,7 @@
 	return Accepted{}, ErrUnavailable
 }
 
-func result(o consensus.Outcome) (Accepted, error) {
+func resultOf(o consensus.Outcome) (Accepted, error) {
 	number, digest := o.Change.Number, o.Change.Digest.String()
 	switch o.Kind {
 	case consensus.Accepted:
@@ -196,8 +198,8 @@
 	return Accepted{}, ErrUnknown
 }
 
-// candidates returns the voters in the order of trying: this entry, then those
-// heard most recently.
+// candidates returns the voters in the order in which execute tries them: this
+// entry first, then by most recent contact.
 func (r *Register) candidates() []job.EntryID {
 	voters := slices.Clone(r.voters())
 	r.mu.Lock()
@@ -206,7 +208,7 @@
 		if a == r.self || b == r.self {
 			return boolToInt(b == r.self) - boolToInt(a == r.self)
 		}
-		return r.heard[b].Compare(r.heard[a])
+		return r.lastContact[b].Compare(r.lastContact[a])
 	})
 	return voters
 }
@@ -218,15 +220,15 @@
 	return 0
 }
 
-// try hands the command to one voter.
-func (r *Register) try(ctx context.Context, to job.EntryID, c consensus.Command, wait time.Duration) consensus.Outcome {
+// submitTo submits the command to one voter.
+func (r *Register) submitTo(ctx context.Context, to job.EntryID, c consensus.Command, wait time.Duration) consensus.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	if to == r.self {
 		return r.propose(ctx, c)
 	}
 	var o consensus.Outcome
-	req := order{Command: c, WaitMillis: max(wait-answerMargin, 0).Milliseconds()}
+	req := commandRequest{Command: c, WaitMillis: max(wait-answerMargin, 0).Milliseconds()}
 	err := r.mesh.Call(ctx, to, peer.ConfigApply, req, &o)
 	switch {
 	case err == nil:
@@ -237,7 +239,7 @@
 	return consensus.Outcome{Kind: consensus.Unknown}
 }
 
-// propose submits the command to this entry's node and waits.
+// propose submits the command to this entry's node and waits for the outcome.
 func (r *Register) propose(ctx context.Context, c consensus.Command) consensus.Outcome {
 	r.mu.Lock()
 	if r.node == nil {
@@ -247,7 +249,7 @@
 	r.lastToken++
 	token := r.lastToken
 	done := make(chan consensus.Outcome, 1)
-	r.waiting[token] = done
+	r.outcomes[token] = done
 	r.mu.Unlock()
 	r.step(consensus.Submit{Token: token, Command: c})
 	select {
@@ -260,13 +262,13 @@
 }
 
 func (r *Register) onApply(ctx context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
-	var req order
+	var req commandRequest
 	if err := cbor.Unmarshal(body, &req); err != nil {
-		return nil, errors.Annotate(err, "decoding an order")
+		return nil, errors.Annotate(err, "decoding a command request")
 	}
 	switch req.Command.Kind {
 	case consensus.Configure:
-		// The sender checked it too; a voter does not rely on it.
+		// The sender has checked the file, but a voter does not rely on that.
 		body, err := unpack(req.Command.Body)
 		if err != nil {
 			return nil, errors.Trace(err)
--- a/internal/register/bench_test.go
+++ b/internal/register/bench_test.go
@@ -16,39 +16,40 @@
 	"github.com/vanillagrade/vanillagrade/internal/storage"
 )
 
-// The benchmarks run in real time: voters sync to the real disk of the machine,
-// and the network in memory delays each message as between availability zones.
+// zoneDelay is the message delay between availability zones. The benchmarks run in real
+// time: voters sync to the real disk of the machine, and the in-memory network delays
+// each message by zoneDelay.
 const zoneDelay = 1500 * time.Microsecond
 
-// slowDisk is the real disk with a longer sync: the machine that the figures
-// come from syncs in about 0.1 ms, while the disks of small VMs take several.
+// slowDisk is the real disk with a longer sync: the machine that the published results
+// come from syncs in about 0.1 ms, while the disks of small VMs need several.
 type slowDisk struct {
 	storage.OS
-	sync time.Duration
+	extraSync time.Duration
 }
 
 type slowFile struct {
 	storage.File
-	sync time.Duration
+	extraSync time.Duration
 }
 
 func (s slowDisk) Create(name string) (storage.File, error) {
 	f, err := s.OS.Create(name)
-	return slowFile{f, s.sync}, err
+	return slowFile{f, s.extraSync}, err
 }
 
 func (s slowDisk) SyncDir(dir string) error {
-	time.Sleep(s.sync)
+	time.Sleep(s.extraSync)
 	return s.OS.SyncDir(dir)
 }
 
 func (f slowFile) Sync() error {
-	time.Sleep(f.sync)
+	time.Sleep(f.extraSync)
 	return f.File.Sync()
 }
 
-// realFleet starts voters on real disks and learners.
-func realFleet(b *testing.B, voters, learners int, sync time.Duration) *fleet {
+// newRealDiskFleet starts voters with real disks, and learners.
+func newRealDiskFleet(b *testing.B, voters, learners int, extraSync time.Duration) *fleet {
 	f := &fleet{t: b, net: &peertest.Network{Delay: zoneDelay}, nodes: map[job.EntryID]*member{}}
 	for i := range voters {
 		f.voters = append(f.voters, job.EntryID(fmt.Sprintf("v%d", i+1)))
@@ -60,7 +61,7 @@
 	for i, e := range f.entries {
 		opts := Options{Mesh: f.net.Join(job.Owner{Entry: e, Incarnation: 1}), Voters: f.voters, Entries: f.entries}
 		if i < voters {
-			store, err := storage.Open(b.TempDir(), slowDisk{sync: sync})
+			store, err := storage.Open(b.TempDir(), slowDisk{extraSync: extraSync})
 			qt.Assert(b, err, qt.IsNil)
 			opts.Store = store
 		}
@@ -87,14 +88,14 @@
 	}
 }
 
-// report prints the median and the 99th percentile of times.
-func report(b *testing.B, what string, times []time.Duration) {
+// reportLatency reports the median and the 99th percentile of times.
+func reportLatency(b *testing.B, what string, times []time.Duration) {
 	slices.Sort(times)
 	b.ReportMetric(float64(times[len(times)/2].Microseconds())/1000, what+"-p50-ms")
 	b.ReportMetric(float64(times[len(times)*99/100].Microseconds())/1000, what+"-p99-ms")
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -106,28 +107,28 @@
 		sync   time.Duration
 	}{{3, 0}, {5, 0}, {3, 5 * time.Millisecond}, {5, 5 * time.Millisecond}} {
 		b.Run(fmt.Sprintf("voters=%d/sync+%s", c.voters, c.sync), func(b *testing.B) {
-			f := realFleet(b, c.voters, 7-c.voters, c.sync)
+			f := newRealDiskFleet(b, c.voters, 7-c.voters, c.sync)
 			var times []time.Duration
 			number := 1
-			cpu := processorTime()
+			cpu := cpuTime()
 			for b.Loop() {
 				number++
 				start := time.Now()
 				f.mustApply("v1", number)
 				times = append(times, time.Since(start))
 			}
-			b.ReportMetric(float64((processorTime()-cpu).Microseconds())/float64(len(times)*len(f.entries)), "cpu-µs/change/entry")
-			report(b, "apply", times)
+			b.ReportMetric(float64((cpuTime()-cpu).Microseconds())/float64(len(times)*len(f.entries)), "cpu-µs/change/entry")
+			reportLatency(b, "apply", times)
 		})
 	}
 }
 
-// BenchmarkSpread measures from the call of Apply until the file is in force on
-// every entry.
+// BenchmarkSpread measures the time from the call of Apply until the file is in effect
+// on every entry.
 func BenchmarkSpread(b *testing.B) {
 	for _, entries := range []int{7, 300} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
-			f := realFleet(b, 3, entries-3, 0)
+			f := newRealDiskFleet(b, 3, entries-3, 0)
 			var times []time.Duration
 			number := 1
 			for b.Loop() {
@@ -141,13 +142,13 @@
 				}
 				times = append(times, time.Since(start))
 			}
-			report(b, "in-force", times)
+			reportLatency(b, "in-force", times)
 		})
 	}
 }
 
-// BenchmarkRecover measures from the start of a voter until it serves, by the
-// number of changes that it has seen.
+// BenchmarkRecover measures the time from the start of a voter until it serves,
+// depending on the number of changes in its record.
 func BenchmarkRecover(b *testing.B) {
 	for _, changes := range []int{10, 500, 50000} {
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) {
--- a/internal/register/body.go
+++ b/internal/register/body.go
@@ -1,7 +1,7 @@
 package register
 
-// Body returns the file in force as it was applied, and its name; nil before
-// the first one.
+// Body returns the bytes of the file in effect as they were applied, and what
+// identifies the file; nil before the first one.
 func (r *Register) Body() (body []byte, a Accepted) {
 	s := r.current.Load()
 	if s == nil || s.Change.Number == 0 {
--- a/internal/register/fault_test.go
+++ b/internal/register/fault_test.go
@@ -16,23 +16,24 @@
 	"github.com/vanillagrade/vanillagrade/internal/storage/storagetest"
 )
 
-// scenario runs body on a fleet that is formed and has configuration 1 in force.
-func scenario(t *testing.T, voters, learners int, body func(t *testing.T, f *fleet)) {
+// withFormedFleet runs body on a formed fleet with configuration 1 in effect.
+func withFormedFleet(t *testing.T, voters, learners int, body func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, voters, learners)
 		defer f.stopAll()
 		time.Sleep(3 * time.Second)
 		f.mustApply("v1", 1)
-		f.inForce(1, time.Second, f.entries...)
+		f.assertInEffect(1, time.Second, f.entries...)
 		body(t, f)
 	})
 }
 
-// Two operators on two entries apply different files with one number at the same
-// moment. If both were told yes, one of them would believe in a file that is
-// nowhere in force; the loser must hear who won, now and when asking again later.
+// Two operators on two entries apply different files with the same number at the same
+// time. If both succeeded, one of them would rely on a file that is nowhere in effect.
+// The loser must get a conflict that identifies the accepted change, also when it
+// repeats the call later.
 func TestRacingOperatorsWithEqualNumbers(t *testing.T) {
-	scenario(t, 3, 2, func(t *testing.T, f *fleet) {
+	withFormedFleet(t, 3, 2, func(t *testing.T, f *fleet) {
 		type result struct {
 			a   Accepted
 			err error
@@ -58,15 +59,15 @@
 		again := new(Conflict)
 		qt.Assert(t, errors.As(err, &again), qt.IsTrue)
 		qt.Assert(t, *again, qt.Equals, *conflict)
-		f.inForce(3, time.Second, f.entries...)
+		f.assertInEffect(3, time.Second, f.entries...)
 	})
 }
 
-// The answer to an apply is lost and the operator sends the change again, at
-// once or after others have applied more. It must hear that its own change was
+// The answer to an apply is lost and the operator sends the change again, at once or
+// after others have applied more changes. The answer must be that the change was
 // accepted, not that it is too old.
 func TestResendReturnsTheFirstOutcome(t *testing.T) {
-	scenario(t, 3, 1, func(t *testing.T, f *fleet) {
+	withFormedFleet(t, 3, 1, func(t *testing.T, f *fleet) {
 		first, err := f.apply("v1", "mine", fileOf(2, "mine"))
 		qt.Assert(t, err, qt.IsNil)
 		for number := 3; number < 6; number++ {
@@ -81,15 +82,16 @@
 		var conflict *Conflict
 		qt.Assert(t, errors.As(err, &conflict), qt.IsTrue)
 		qt.Assert(t, conflict.Reused, qt.IsTrue)
-		f.inForce(5, time.Second, f.entries...)
+		f.assertInEffect(5, time.Second, f.entries...)
 	})
 }
 
-// A network partition separates a voter, and a learner of its zone, for an hour.
-// They must refuse changes, keep serving by their last file, report it as stale
-// since the partition began, and catch up within seconds after the cut, without ever going back.
-func TestVoterCutOffForLong(t *testing.T) {
-	scenario(t, 3, 3, func(t *testing.T, f *fleet) {
+// A network partition separates a voter and a learner of its zone for an hour. They
+// must refuse changes, keep serving with their last file, report it as stale since the
+// partition began, and catch up within seconds after the partition ends, without ever
+// returning to an older file.
+func TestVoterPartitionedForLong(t *testing.T) {
+	withFormedFleet(t, 3, 3, func(t *testing.T, f *fleet) {
 		f.cut(true, "v3", "l3")
 		cutAt := time.Now()
 		time.Sleep(time.Hour)
@@ -107,7 +109,7 @@
 		}
 		qt.Assert(t, f.nodes["v1"].State().Stale, qt.IsFalse)
 		f.cut(false, "v3", "l3")
-		f.inForce(19, 4*time.Second, f.entries...)
+		f.assertInEffect(19, 4*time.Second, f.entries...)
 		qt.Assert(t, f.nodes["v3"].State().Stale, qt.IsFalse)
 		qt.Assert(t, f.nodes["l3"].State().Stale, qt.IsFalse)
 		f.cut(true, "v1")
@@ -115,36 +117,36 @@
 	})
 }
 
-// A voter's disk is lost and the VM comes back under its old name with an empty
-// one. It has forgotten what it voted for, so its vote must not count until an
-// operator has replaced it; then the loss of another voter must lose nothing.
-func TestDiskLostUnderAnOldName(t *testing.T) {
-	scenario(t, 3, 1, func(t *testing.T, f *fleet) {
+// A voter's disk is lost and the VM restarts under the same name with an empty disk. It
+// has lost the record of its votes, so its vote must not count until an operator has
+// replaced the voter. Afterwards the loss of another voter must lose no data.
+func TestDiskLostUnderSameName(t *testing.T) {
+	withFormedFleet(t, 3, 1, func(t *testing.T, f *fleet) {
 		f.crash("v3", storagetest.KeepAll)
 		f.start("v3", &storagetest.FS{})
-		f.inForce(1, 4*time.Second, f.entries...)
+		f.assertInEffect(1, 4*time.Second, f.entries...)
 		qt.Assert(t, f.nodes["v3"].State().Voter, qt.IsFalse)
 		qt.Assert(t, f.nodes["v3"].State().Problem, qt.Matches, ".*replace-voter.*")
 		f.cut(true, "v2")
 		_, err := f.apply("v1", "two", fileOf(2, "two"))
-		qt.Assert(t, errors.Is(err, ErrUnavailable), qt.IsTrue, qt.Commentf("one vote and a forgetful disk are no majority"))
+		qt.Assert(t, errors.Is(err, ErrUnavailable), qt.IsTrue, qt.Commentf("one vote and an empty disk are no majority"))
 		f.cut(false, "v2")
 		time.Sleep(3 * time.Second)
 		qt.Assert(t, f.nodes["l1"].ReplaceVoter(context.Background(), "v3", "v3"), qt.IsNil)
 		f.crash("v1", storagetest.KeepAll)
 		f.mustApply("v3", 3)
-		f.inForce(3, 4*time.Second, "v2", "v3", "l1")
+		f.assertInEffect(3, 4*time.Second, "v2", "v3", "l1")
 		qt.Assert(t, f.nodes["v3"].State().Voter, qt.IsTrue)
 		qt.Assert(t, f.nodes["v3"].State().Problem, qt.Equals, "")
 	})
 }
 
-// A voter's VM is lost for good and another entry with an empty disk takes its
-// place; right after, a second voter is lost. The file that was accepted before
-// must stand, and the two that are left must be able to go on.
+// A voter's VM is lost permanently and another entry with an empty disk replaces it;
+// right afterwards a second voter is lost. The file accepted before must remain
+// accepted, and the remaining voters must be able to accept changes.
 func TestSecondLossRightAfterARepair(t *testing.T) {
-	scenario(t, 4, 1, func(t *testing.T, f *fleet) {
-		// v4 has a disk but is brought in as a spare: it is no voter yet.
+	withFormedFleet(t, 4, 1, func(t *testing.T, f *fleet) {
+		// v4 joins as a spare: it has a disk but is no voter yet.
 		qt.Assert(t, f.nodes["v1"].ReplaceVoter(context.Background(), "v4", "v4"), qt.IsNil)
 		f.mustApply("v2", 2)
 		f.crash("v4", storagetest.KeepNone)
@@ -154,7 +156,7 @@
 		qt.Assert(t, f.nodes["v1"].ReplaceVoter(context.Background(), "v4", "v5"), qt.IsNil)
 		f.crash("v1", storagetest.KeepNone)
 		f.mustApply("l1", 3)
-		f.inForce(3, 4*time.Second, "v2", "v3", "v5", "l1")
+		f.assertInEffect(3, 4*time.Second, "v2", "v3", "v5", "l1")
 		qt.Assert(t, f.nodes["v5"].State().Voter, qt.IsTrue)
 		old := f.start("v4", &storagetest.FS{})
 		time.Sleep(4 * time.Second)
@@ -163,15 +165,15 @@
 	})
 }
 
-// All voters lose power at once after hundreds of changes, and the network comes
-// back later than the entries. Each must start with the last file that it
-// accepted, serve by it at once, and take changes again when a majority is back.
+// All voters lose power at once after hundreds of changes, and the network comes back
+// later than the entries. Each must start with the last file that it accepted, serve
+// with it at once, and accept changes again when a majority is reachable.
 func TestRestartAfterManyChanges(t *testing.T) {
-	scenario(t, 3, 1, func(t *testing.T, f *fleet) {
+	withFormedFleet(t, 3, 1, func(t *testing.T, f *fleet) {
 		for number := 2; number <= 500; number++ {
 			f.mustApply(f.entries[number%4], number)
 		}
-		f.inForce(500, time.Second, f.entries...)
+		f.assertInEffect(500, time.Second, f.entries...)
 		disks := map[job.EntryID]*storagetest.FS{}
 		for _, e := range f.voters {
 			disks[e] = f.crash(e, storagetest.KeepNone)
@@ -189,16 +191,16 @@
 		f.cut(false, "v2")
 		time.Sleep(4 * time.Second)
 		f.mustApply("l1", 501)
-		f.inForce(501, time.Second, f.entries...)
+		f.assertInEffect(501, time.Second, f.entries...)
 		_, err := f.apply("v1", "change-400", fileOf(400, "a"))
 		qt.Assert(t, err, qt.IsNil, qt.Commentf("a resend after the restart"))
 	})
 }
 
-// A voter's record comes back with a flipped bit. It can't know what it voted
-// for, so it must not vote, must say why, and must serve like any learner.
+// A voter restarts with a flipped bit in its record. It can't know its earlier votes,
+// so it must not vote, must report why, and must serve like any learner.
 func TestCorruptRecordDoesNotVote(t *testing.T) {
-	scenario(t, 3, 0, func(t *testing.T, f *fleet) {
+	withFormedFleet(t, 3, 0, func(t *testing.T, f *fleet) {
 		fs := f.crash("v3", storagetest.KeepAll)
 		fs.Change("data/register.record", func(b []byte) []byte {
 			b[len(b)/2] ^= 1
@@ -206,7 +208,7 @@
 		})
 		m := f.start("v3", fs)
 		f.mustApply("v1", 2)
-		f.inForce(2, 4*time.Second, "v1", "v2", "v3")
+		f.assertInEffect(2, 4*time.Second, "v1", "v2", "v3")
 		qt.Assert(t, m.State().Voter, qt.IsFalse)
 		qt.Assert(t, m.State().Problem, qt.Matches, ".*corrupt record.*")
 		f.crash("v2", storagetest.KeepAll)
@@ -215,58 +217,58 @@
 	})
 }
 
-// The disks of two voters are full for a while. No change may be acknowledged,
-// since only one disk would hold it; the operator hears that the outcome is
-// open or that nothing was accepted, and once there is space the fleet goes on.
+// The disks of two voters are temporarily full. No change may be acknowledged, since
+// only one disk would hold it. The operator must get the error that the outcome is
+// unknown or that nothing was accepted, and the fleet must resume once there is space.
 func TestFullDisksAcknowledgeNothing(t *testing.T) {
-	scenario(t, 3, 1, func(t *testing.T, f *fleet) {
+	withFormedFleet(t, 3, 1, func(t *testing.T, f *fleet) {
 		f.nodes["v1"].fs.Fill(true)
 		f.nodes["v2"].fs.Fill(true)
 		_, err := f.apply("v3", "two", fileOf(2, "two"))
 		qt.Assert(t, errors.Is(err, ErrUnavailable) || errors.Is(err, ErrUnknown), qt.IsTrue, qt.Commentf("%v", err))
 		qt.Assert(t, f.nodes["v1"].State().Problem, qt.Matches, ".*no space left.*")
-		f.inForce(1, time.Second, f.entries...)
+		f.assertInEffect(1, time.Second, f.entries...)
 		f.nodes["v1"].fs.Fill(false)
 		f.nodes["v2"].fs.Fill(false)
 		time.Sleep(5 * time.Second)
 		f.mustApply("l1", 3)
-		f.inForce(3, 2*time.Second, f.entries...)
+		f.assertInEffect(3, 2*time.Second, f.entries...)
 		qt.Assert(t, f.nodes["v1"].State().Problem, qt.Equals, "")
 	})
 }
 
-// A voter loses power at any operation of its disk while changes are applied,
-// and comes back with whatever the disk had got. What an operator was told is
-// accepted must be in force afterwards on every entry.
+// A voter loses power at each operation of its disk while changes are applied, and
+// restarts with the content that the disk kept. Every change that was acknowledged to
+// an operator must afterwards be in effect on every entry.
 func TestCrashAtEveryDiskOperation(t *testing.T) {
 	for _, keep := range storagetest.Keeps {
 		for at := 1; at <= 20; at++ {
-			scenario(t, 3, 0, func(t *testing.T, f *fleet) {
+			withFormedFleet(t, 3, 0, func(t *testing.T, f *fleet) {
 				f.nodes["v2"].fs.CrashAt(at)
 				f.mustApply("v1", 2)
 				f.mustApply("v3", 3)
 				f.start("v2", f.crash("v2", keep))
-				f.inForce(3, 4*time.Second, f.entries...)
+				f.assertInEffect(3, 4*time.Second, f.entries...)
 				f.crash("v1", keep)
 				f.mustApply("v2", 4)
-				f.inForce(4, 4*time.Second, "v2", "v3")
+				f.assertInEffect(4, 4*time.Second, "v2", "v3")
 			})
 		}
 	}
 }
 
-// A voter dies when the others have voted for its operator's change but before
-// it could tell anybody that the change was chosen. The operator may have been
-// told yes, so the change must come into force without anybody's doing.
-func TestProposerDiesBeforeItTells(t *testing.T) {
-	scenario(t, 3, 1, func(t *testing.T, f *fleet) {
+// A voter crashes after the others have voted for its operator's change but before it
+// could announce that the change was chosen. The operator may have received the
+// acknowledgement, so the change must take effect without any further action.
+func TestProposerCrashesBeforeAnnouncing(t *testing.T) {
+	withFormedFleet(t, 3, 1, func(t *testing.T, f *fleet) {
 		answer := make(chan error, 1)
 		go func() {
 			_, err := f.apply("v1", "two", fileOf(2, "two"))
 			answer <- err
 		}()
-		// Prepare, promise and accept take a millisecond each; the votes are
-		// on their way back.
+		// Prepare, promise and accept take a millisecond each; the votes are in
+		// transit.
 		time.Sleep(3500 * time.Microsecond)
 		f.cut(true, "v1")
 		fs := f.crash("v1", storagetest.KeepNone)
@@ -274,52 +276,52 @@
 			number, _ := f.nodes[e].Summary()
 			qt.Assert(t, number, qt.Equals, uint64(1))
 		}
-		f.inForce(2, 5*time.Second, "v2", "v3", "l1")
+		f.assertInEffect(2, 5*time.Second, "v2", "v3", "l1")
 		err := <-answer
 		qt.Assert(t, err == nil || errors.Is(err, ErrUnknown), qt.IsTrue, qt.Commentf("%v", err))
 		f.cut(false, "v1")
 		f.start("v1", fs)
-		f.inForce(2, 4*time.Second, f.entries...)
+		f.assertInEffect(2, 4*time.Second, f.entries...)
 	})
 }
 
-// An entry without a disk restarts while no voter can be reached. It must get
-// the configuration from any entry that holds it, and say that it is stale.
+// An entry without a disk restarts while no voter is reachable. It must get the
+// configuration from any entry that holds it, and report it as stale.
 func TestLearnerStartsWithoutVoters(t *testing.T) {
-	scenario(t, 3, 2, func(t *testing.T, f *fleet) {
+	withFormedFleet(t, 3, 2, func(t *testing.T, f *fleet) {
 		f.cut(true, "l1", "l2")
 		f.crash("l2", storagetest.KeepNone)
 		f.start("l2", nil)
-		f.inForce(1, 3*time.Second, "l1", "l2")
+		f.assertInEffect(1, 3*time.Second, "l1", "l2")
 		time.Sleep(10 * time.Second)
 		qt.Assert(t, f.nodes["l2"].State().Stale, qt.IsTrue)
 		qt.Assert(t, f.nodes["l2"].State().Serving, qt.Matches, "configuration 1,.*; stale: .*")
 	})
 }
 
-// A voter's disk is so slow that the change is chosen long before it is written
-// there. Were it in force at once, a crash would bring the old file back.
-func TestNothingIsInForceBeforeItIsSynced(t *testing.T) {
-	scenario(t, 3, 0, func(t *testing.T, f *fleet) {
+// A voter's disk is so slow that a change is chosen long before this disk has synced
+// it. If the change took effect before the sync, a crash would bring back the old file.
+func TestNothingTakesEffectBeforeSync(t *testing.T) {
+	withFormedFleet(t, 3, 0, func(t *testing.T, f *fleet) {
 		f.nodes["v3"].fs.Slow(20 * time.Second)
 		f.mustApply("v1", 2)
-		f.inForce(2, 10*time.Second, "v1", "v2")
-		f.inForce(1, 0, "v3")
+		f.assertInEffect(2, 10*time.Second, "v1", "v2")
+		f.assertInEffect(1, 0, "v3")
 		m := f.start("v3", f.crash("v3", storagetest.KeepNone))
 		qt.Assert(t, m.Current().Number, qt.Equals, uint64(1))
-		f.inForce(2, 4*time.Second, "v3")
+		f.assertInEffect(2, 4*time.Second, "v3")
 	})
 }
 
-// A voter's disk is full for good. It can't vote, but callers of this entry must
-// not be served by old quotas until somebody comes to look at it.
+// A voter's disk stays full. The voter can't vote, but it must still receive changes:
+// otherwise it would serve callers with old quotas until an operator intervenes.
 func TestFullDiskStillFollows(t *testing.T) {
-	scenario(t, 3, 0, func(t *testing.T, f *fleet) {
+	withFormedFleet(t, 3, 0, func(t *testing.T, f *fleet) {
 		f.nodes["v3"].fs.Fill(true)
 		f.mustApply("v1", 2)
-		f.inForce(2, 5*time.Second, f.entries...)
+		f.assertInEffect(2, 5*time.Second, f.entries...)
 		f.mustApply("v2", 3)
-		f.inForce(3, 5*time.Second, f.entries...)
+		f.assertInEffect(3, 5*time.Second, f.entries...)
 		f.nodes["v3"].fs.Fill(false)
 		time.Sleep(5 * time.Second)
 		m := f.start("v3", f.crash("v3", storagetest.KeepNone))
@@ -327,11 +329,11 @@
 	})
 }
 
-// An entry is started with the data folder of another fleet. It must not take
-// part in this one, nor overwrite its own configuration, and must say why it
-// does not follow.
+// An entry starts with the data folder of another fleet. It must not participate in
+// this fleet nor overwrite its own configuration, and must report why it does not
+// follow this fleet's changes.
 func TestDataFolderOfAnotherFleet(t *testing.T) {
-	scenario(t, 3, 0, func(t *testing.T, f *fleet) {
+	withFormedFleet(t, 3, 0, func(t *testing.T, f *fleet) {
 		f.mustApply("v1", 2)
 		fs := &storagetest.FS{}
 		store, err := storage.Open("data", fs)
@@ -343,19 +345,20 @@
 		time.Sleep(4 * time.Second)
 		qt.Assert(t, m.State().Problem, qt.Matches, ".*another fleet.*")
 		qt.Assert(t, m.Current(), qt.IsNil)
-		f.inForce(2, 0, f.voters...)
+		f.assertInEffect(2, 0, f.voters...)
 	})
 }
 
-// An entry comes back with an empty disk while it reaches only an entry without
-// one, and has the configuration from there. Once it reaches the voters the whole
-// value must get onto its disk, or its next start would have nothing to serve by.
-func TestEmptyDiskIsFilledAfterALearnersHelp(t *testing.T) {
-	scenario(t, 3, 1, func(t *testing.T, f *fleet) {
+// An entry restarts with an empty disk while it reaches only an entry without a disk,
+// and pulls the configuration from that one. Once it reaches the voters, the complete
+// value must be written to its disk; otherwise its next start would have no
+// configuration to serve with.
+func TestEmptyDiskIsFilledAfterPullFromLearner(t *testing.T) {
+	withFormedFleet(t, 3, 1, func(t *testing.T, f *fleet) {
 		f.crash("v3", storagetest.KeepAll)
 		f.cut(true, "v3", "l1")
 		f.start("v3", &storagetest.FS{})
-		f.inForce(1, 3*time.Second, "v3")
+		f.assertInEffect(1, 3*time.Second, "v3")
 		qt.Assert(t, f.nodes["v3"].State().Voter, qt.IsFalse)
 		f.cut(false, "v3", "l1")
 		time.Sleep(4 * time.Second)
@@ -366,22 +369,22 @@
 	})
 }
 
-// A learner asks the voter that first told it of a change; that voter is cut off
-// before it answers. The others have the change too, and their word must be
-// followed at once: waiting for the silent one, the learner would serve by the
-// old file for longer than a change may take.
-func TestPullFromASilentPeerHoldsUpNoOther(t *testing.T) {
+// A learner pulls a change from the voter that announced it first, and that voter
+// becomes unreachable before it answers. The learner must pull from the next voter that
+// announces the change at once: if it waited for the unresponsive one, it would serve
+// with the old file for longer than a change may take.
+func TestPullFromUnresponsivePeerDelaysNoOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 1)
 		defer f.stopAll()
 		f.mustApply("v1", 1)
-		f.inForce(1, time.Second, "l1")
+		f.assertInEffect(1, time.Second, "l1")
 		f.net.SetDrop(func(from, to job.EntryID, kind peer.Kind, answer bool) bool {
 			return from == "v1" && to == "l1" && kind == peer.ConfigPull && answer
 		})
-		// The learner hears of the change from v1 only, and then from the others.
+		// The learner learns of the change from v1 first, and then from the others.
 		f.nodes["l1"].Observe("v1", 2, "")
 		f.mustApply("v2", 2)
-		f.inForce(2, 300*time.Millisecond, "l1")
+		f.assertInEffect(2, 300*time.Millisecond, "l1")
 	})
 }
--- a/internal/register/fleet_test.go
+++ b/internal/register/fleet_test.go
@@ -19,21 +19,21 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// fleet is a set of entries on a network in memory.
+// fleet is a set of entries on an in-memory network.
 type fleet struct {
 	t       testing.TB
 	net     *peertest.Network
 	voters  []job.EntryID
 	entries []job.EntryID
 	// mu guards nodes.
-	mu    sync.Mutex
-	nodes map[job.EntryID]*member
-	life  job.Incarnation
-	// mend, when set, has the voters mended.
+	mu          sync.Mutex
+	nodes       map[job.EntryID]*member
+	incarnation job.Incarnation
+	// mend, when set, enables the repair of the voter set.
 	mend *Mend
-	// events, when set, gets what all entries record.
+	// events, when set, receives the events of all entries.
 	events timeline.Sink
-	// wrap, when set, goes around the link of an entry that starts.
+	// wrap, when set, wraps the mesh of each entry that starts.
 	wrap func(peer.Mesh) peer.Mesh
 }
 
@@ -46,7 +46,7 @@
 
 func newNetwork() *peertest.Network { return &peertest.Network{Delay: time.Millisecond} }
 
-// newFleet starts voters v1.. with disks and learners l1.. without.
+// newFleet starts voters v1.. with disks and learners l1.. without disks.
 func newFleet(t testing.TB, voters, learners int) *fleet {
 	return newFleetOn(t, newNetwork(), voters, learners)
 }
@@ -70,19 +70,19 @@
 	return f
 }
 
-// start starts an entry on a disk; nil is none.
+// start starts an entry with the disk fs, or without a disk where fs is nil.
 func (f *fleet) start(e job.EntryID, fs *storagetest.FS) *member {
-	f.life++
-	var mesh peer.Mesh = f.net.Join(job.Owner{Entry: e, Incarnation: f.life})
+	f.incarnation++
+	var mesh peer.Mesh = f.net.Join(job.Owner{Entry: e, Incarnation: f.incarnation})
 	if f.wrap != nil {
 		mesh = f.wrap(mesh)
 	}
-	// Nothing may depend on the time of day, so each entry's clock jumps by up
-	// to a day, back and forth, at each reading.
-	life := uint64(f.life)
+	// Nothing may depend on the time of day, so each clock reading of an entry is
+	// off by up to a day in either direction.
+	incarnation := uint64(f.incarnation)
 	clock := func() time.Time {
 		now := time.Now()
-		jump := rand.New(rand.NewPCG(life, uint64(now.UnixNano()))).Int64N(int64(48 * time.Hour))
+		jump := rand.New(rand.NewPCG(incarnation, uint64(now.UnixNano()))).Int64N(int64(48 * time.Hour))
 		return now.Add(time.Duration(jump) - 24*time.Hour)
 	}
 	opts := Options{Mesh: mesh, Voters: f.voters, Entries: f.entries, Clock: clock, Mend: f.mend, Events: f.events}
@@ -103,7 +103,7 @@
 	return m
 }
 
-// crash stops an entry and returns what its disk then holds.
+// crash stops an entry and returns its disk with the content that survives the crash.
 func (f *fleet) crash(e job.EntryID, keep storagetest.Keep) *storagetest.FS {
 	m := f.nodes[e]
 	if m.fs != nil {
@@ -127,12 +127,12 @@
 		m.stop()
 		<-m.done
 	}
-	// Pulls and calls under way end by their own timeouts.
+	// Pulls and calls in progress end by their own timeouts.
 	time.Sleep(time.Minute)
 	synctest.Wait()
 }
 
-// cut separates the entries of side from all others, or joins them again.
+// cut partitions the entries of side from all others, or reconnects them.
 func (f *fleet) cut(down bool, side ...job.EntryID) {
 	in := map[job.EntryID]bool{}
 	for _, e := range side {
@@ -159,8 +159,9 @@
 	qt.Assert(f.t, err, qt.IsNil)
 }
 
-// inForce waits and then wants the number on each of the entries.
-func (f *fleet) inForce(number uint64, within time.Duration, entries ...job.EntryID) {
+// assertInEffect waits for the given time and then asserts that the number is in effect
+// on each of the entries.
+func (f *fleet) assertInEffect(number uint64, within time.Duration, entries ...job.EntryID) {
 	f.t.Helper()
 	time.Sleep(within)
 	synctest.Wait()
--- a/internal/register/history_test.go
+++ b/internal/register/history_test.go
@@ -19,61 +19,61 @@
 	"github.com/vanillagrade/vanillagrade/internal/storage/storagetest"
 )
 
-// call is one apply, or a read where id is empty.
+// call is an apply, or a read where id is empty.
 type call struct {
 	id     string
 	number uint64
-	// resent says that an earlier call of this change had no clear outcome.
+	// resent is set when an earlier call of this change had an unknown outcome.
 	resent bool
 }
 
-// reply is what came back.
+// reply is the result of a call.
 type reply struct {
-	verdict string
+	outcome string
 	number  uint64
 	id      string
 }
 
-// registerModel is the register as one sequential object. Its state is the row
-// of accepted changes, as "id:number" words.
+// registerModel models the register as a sequential object. Its state is the list of
+// accepted changes in order, as "id:number" words separated by spaces.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		row, in, out := state.(string), input.(call), output.(reply)
-		words := strings.Fields(row)
+		accepted, in, out := state.(string), input.(call), output.(reply)
+		words := strings.Fields(accepted)
 		latestID, latest := "", uint64(0)
 		if len(words) > 0 {
-			latestID, latest = split(words[len(words)-1])
+			latestID, latest = parseChange(words[len(words)-1])
 		}
-		mine := fmt.Sprintf("%s:%d", in.id, in.number)
-		known := strings.Contains(" "+row+" ", " "+mine+" ")
+		own := fmt.Sprintf("%s:%d", in.id, in.number)
+		known := strings.Contains(" "+accepted+" ", " "+own+" ")
 		switch {
 		case in.id == "":
-			return out.verdict != "accepted" || out.number == latest && out.id == latestID, row
-		case out.verdict == "unavailable":
+			return out.outcome != "accepted" || out.number == latest && out.id == latestID, accepted
+		case out.outcome == "unavailable":
 			// A call that reached no majority can't know of an earlier one.
-			return !known || in.resent, row
-		case out.verdict == "conflict":
-			won := fmt.Sprintf("%s:%d", out.id, out.number)
-			return !known && in.number <= latest && strings.Contains(" "+row+" ", " "+won+" "), row
+			return !known || in.resent, accepted
+		case out.outcome == "conflict":
+			winner := fmt.Sprintf("%s:%d", out.id, out.number)
+			return !known && in.number <= latest && strings.Contains(" "+accepted+" ", " "+winner+" "), accepted
 		case known:
-			return true, row
-		case out.verdict == "unknown" && in.number <= latest:
-			return true, row
+			return true, accepted
+		case out.outcome == "unknown" && in.number <= latest:
+			return true, accepted
 		}
-		return in.number > latest, strings.TrimSpace(row + " " + mine)
+		return in.number > latest, strings.TrimSpace(accepted + " " + own)
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func split(word string) (string, uint64) {
+func parseChange(word string) (string, uint64) {
 	id, digits, _ := strings.Cut(word, ":")
 	var number uint64
 	_, _ = fmt.Sscan(digits, &number)
 	return id, number
 }
 
-func replyOf(a Accepted, err error) reply {
+func newReply(a Accepted, err error) reply {
 	var conflict *Conflict
 	switch {
 	case err == nil:
@@ -81,25 +81,25 @@
 	case errors.As(err, &conflict):
 		return reply{"conflict", conflict.Number, conflict.ChangeID}
 	case errors.Is(err, ErrUnavailable):
-		return reply{verdict: "unavailable"}
+		return reply{outcome: "unavailable"}
 	}
-	return reply{verdict: "unknown"}
+	return reply{outcome: "unknown"}
 }
 
-// An operator's change ends as unknown and is accepted all the same. Sent again to
-// an entry that is cut off, it hears that no majority answers: true of this call, and
-// it must not count as a contradiction. A first call that heard so and took effect
-// later is one, and so is a second acceptance of another change under its number.
+// The outcome of an operator's change is unknown, but the change was accepted. Sent again
+// to a partitioned entry, it fails as unavailable, which is true of this call: the model
+// must allow it. The model must reject a first call that fails as unavailable and takes
+// effect later, and the acceptance of two changes with the same number.
 func TestModelOfUnavailableCalls(t *testing.T) {
 	change, rival := call{id: "a", number: 1}, call{id: "b", number: 1}
 	again := call{id: "a", number: 1, resent: true}
 	yes := func(c call) reply { return reply{"accepted", c.number, c.id} }
-	none, unknown := reply{verdict: "unavailable"}, reply{verdict: "unknown"}
+	none, unknown := reply{outcome: "unavailable"}, reply{outcome: "unknown"}
 	for _, c := range []struct {
-		name  string
-		calls []call
-		heard []reply
-		legal bool
+		name    string
+		calls   []call
+		replies []reply
+		legal   bool
 	}{
 		{"resent behind a cut", []call{change, {}, again}, []reply{unknown, yes(change), none}, true},
 		{"first call took effect", []call{change, {}}, []reply{none, yes(change)}, false},
@@ -110,8 +110,8 @@
 		history := make([]porcupine.Operation, len(c.calls))
 		for i := range history {
 			at := int64(2 * i)
-			history[i] = porcupine.Operation{Input: c.calls[i], Output: c.heard[i], Call: at, Return: at + 1}
-			if c.heard[i] == unknown {
+			history[i] = porcupine.Operation{Input: c.calls[i], Output: c.replies[i], Call: at, Return: at + 1}
+			if c.replies[i] == unknown {
 				history[i].Return = time.Hour.Nanoseconds()
 			}
 		}
@@ -119,9 +119,9 @@
 	}
 }
 
-// Operators apply and read through all entries while messages are lost, entries
-// are cut off and voters crash. If what they hear did not fit one order of all
-// changes, some operator would believe in a configuration that never was.
+// Operators apply and read on all entries while messages are lost, entries are
+// partitioned and voters crash. If the results did not fit a single order of all
+// changes, an operator could rely on a configuration that never existed.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	const seeds = 12
 	for seed := range uint64(seeds) {
@@ -129,20 +129,20 @@
 			f := newFleetOn(t, &peertest.Network{Delay: time.Millisecond, Drop: peertest.LoseAtRandom(seed, 0.05)}, 3, 2)
 			defer f.stopAll()
 			time.Sleep(5 * time.Second)
-			history := f.record(seed)
-			verdicts := map[string]int{}
+			history := f.recordHistory(seed)
+			outcomes := map[string]int{}
 			for _, op := range history {
-				verdicts[op.Output.(reply).verdict]++
+				outcomes[op.Output.(reply).outcome]++
 			}
-			t.Logf("seed %d: %v", seed, verdicts)
-			qt.Assert(t, verdicts["accepted"] > 5, qt.IsTrue)
+			t.Logf("seed %d: %v", seed, outcomes)
+			qt.Assert(t, outcomes["accepted"] > 5, qt.IsTrue)
 			qt.Assert(t, porcupine.CheckOperations(registerModel, history), qt.IsTrue)
 		})
 	}
 }
 
-// record runs three operators and one saboteur.
-func (f *fleet) record(seed uint64) []porcupine.Operation {
+// recordHistory runs three operators while faults are injected, and returns their calls.
+func (f *fleet) recordHistory(seed uint64) []porcupine.Operation {
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	start := time.Now()
@@ -158,14 +158,14 @@
 				}
 				// A lost answer makes an operator send the change again.
 				for tries := 0; tries < 2; tries++ {
-					op, reached := f.timed(start, o, in, f.entries[r.IntN(len(f.entries))])
+					op, reached := f.recordCall(start, o, in, f.entries[r.IntN(len(f.entries))])
 					if !reached {
 						continue
 					}
 					mu.Lock()
 					history = append(history, op)
 					mu.Unlock()
-					v := op.Output.(reply).verdict
+					v := op.Output.(reply).outcome
 					if v == "accepted" || v == "conflict" || in.id == "" {
 						break
 					}
@@ -176,17 +176,17 @@
 		})
 	}
 	stop := make(chan struct{})
-	var saboteur sync.WaitGroup
-	saboteur.Go(func() { f.sabotage(rand.New(rand.NewPCG(seed, 99)), stop) })
+	var faults sync.WaitGroup
+	faults.Go(func() { f.injectFaults(rand.New(rand.NewPCG(seed, 99)), stop) })
 	wg.Wait()
 	close(stop)
-	saboteur.Wait()
+	faults.Wait()
 	return history
 }
 
-// timed makes one call at an entry. It reports false if the entry is down: then
-// nobody has said anything.
-func (f *fleet) timed(start time.Time, client int, in call, at job.EntryID) (op porcupine.Operation, reached bool) {
+// recordCall makes one call on an entry and records it with its times. It reports false
+// if the entry is down and there was no call.
+func (f *fleet) recordCall(start time.Time, client int, in call, at job.EntryID) (op porcupine.Operation, reached bool) {
 	f.mu.Lock()
 	node := f.nodes[at]
 	f.mu.Unlock()
@@ -197,20 +197,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
 	if in.id == "" {
-		op.Output = replyOf(node.Confirm(ctx))
+		op.Output = newReply(node.Confirm(ctx))
 	} else {
-		op.Output = replyOf(node.Apply(ctx, in.id, []byte(fileOf(int(in.number), in.id))))
+		op.Output = newReply(node.Apply(ctx, in.id, []byte(fileOf(int(in.number), in.id))))
 	}
 	op.Return = time.Since(start).Nanoseconds()
-	if op.Output.(reply).verdict == "unknown" {
-		// It may take effect at any later time.
+	if op.Output.(reply).outcome == "unknown" {
+		// The change may take effect at any later time.
 		op.Return = time.Hour.Nanoseconds()
 	}
 	return op, true
 }
 
-// sabotage cuts off or crashes one voter after the other.
-func (f *fleet) sabotage(r *rand.Rand, stop chan struct{}) {
+// injectFaults partitions or crashes one voter after the other.
+func (f *fleet) injectFaults(r *rand.Rand, stop chan struct{}) {
 	for {
 		victim := f.voters[r.IntN(len(f.voters))]
 		if r.IntN(2) == 0 {
--- a/internal/register/node.go
+++ b/internal/register/node.go
@@ -12,15 +12,15 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 )
 
-// step gives one input to the node and carries out what it asks for. Messages to
-// itself are taken in at once.
+// step passes one input to the consensus node and performs the resulting writes,
+// sends and answers. Messages of the node to itself are processed at once.
 func (r *Register) step(in consensus.Input) {
 	r.mu.Lock()
 	if r.node == nil {
 		r.mu.Unlock()
 		return
 	}
-	var away []consensus.Message
+	var outgoing []consensus.Message
 	inputs := []consensus.Input{in}
 	for len(inputs) > 0 {
 		state, out := consensus.Step(*r.node, inputs[0])
@@ -31,27 +31,27 @@
 				inputs = append(inputs, consensus.Received{Message: m})
 				continue
 			}
-			away = append(away, m)
+			outgoing = append(outgoing, m)
 		}
 		if n := len(out.Writes); n > 0 {
-			r.pending = &out.Writes[n-1]
-			signal(r.write)
+			r.pendingWrite = &out.Writes[n-1]
+			signal(r.writeNeeded)
 		}
 		for _, a := range out.Answers {
-			if done := r.waiting[a.Token]; done != nil {
-				delete(r.waiting, a.Token)
+			if done := r.outcomes[a.Token]; done != nil {
+				delete(r.outcomes, a.Token)
 				done <- a.Outcome
 			}
 		}
 	}
 	busy := r.node.Busy()
 	r.mu.Unlock()
-	for _, m := range away {
-		// A message that can't be sent is lost like any other; Retry repeats it.
+	for _, m := range outgoing {
+		// An unsent message is treated like a lost one: Retry repeats it.
 		_ = r.mesh.Send(m.To, peer.ConsensusMessage, m)
 	}
 	if busy {
-		signal(r.kick)
+		signal(r.retryNeeded)
 	}
 }
 
@@ -67,21 +67,21 @@
 	if err := cbor.Unmarshal(body, &m); err != nil {
 		return nil, errors.Annotate(err, "decoding a message of the voters")
 	}
-	// The link proves who sent it; a message can't speak for another entry.
+	// The link authenticates the sender; an entry can't send for another one.
 	if m.From.Entry != from.Entry || m.To != r.self {
 		return nil, errors.NotValidf("message from %s to %s over the link of %s", m.From.Entry, m.To, from.Entry)
 	}
-	r.contact(from.Entry)
+	r.recordContact(from.Entry)
 	r.step(consensus.Received{Message: m})
 	return nil, nil
 }
 
-// writeLoop syncs records one after the other; records that come up during a
-// write share the next one.
+// writeLoop syncs records one after the other; records created during a write are
+// combined into the next write.
 func (r *Register) writeLoop(ctx context.Context) {
 	for {
 		select {
-		case <-r.write:
+		case <-r.writeNeeded:
 		case <-ctx.Done():
 			return
 		}
@@ -91,25 +91,25 @@
 			}
 		}
 		r.mu.Lock()
-		left := r.pending != nil
+		failed := r.pendingWrite != nil
 		r.mu.Unlock()
-		if !left {
+		if !failed {
 			continue
 		}
-		// The write failed. The node has answered nothing that rests on it,
-		// and each try writes a fresh file, so trying again is safe.
-		if !sleep(ctx, writePause) {
+		// The write failed. The node has sent no answer that depends on the
+		// write, and each attempt writes a new file, so a retry is safe.
+		if !sleep(ctx, writeRetryDelay) {
 			return
 		}
-		signal(r.write)
+		signal(r.writeNeeded)
 	}
 }
 
-// writeNext writes the latest record and reports whether it did.
+// writeNext writes the latest pending record and reports whether it wrote one.
 func (r *Register) writeNext() bool {
 	r.mu.Lock()
-	w := r.pending
-	r.pending = nil
+	w := r.pendingWrite
+	r.pendingWrite = nil
 	r.mu.Unlock()
 	if w == nil {
 		return false
@@ -121,8 +121,8 @@
 			r.log.Error("the record can't be written; this entry does not vote until it can", "error", err)
 		}
 		r.problem = err.Error()
-		if r.pending == nil {
-			r.pending = w
+		if r.pendingWrite == nil {
+			r.pendingWrite = w
 		}
 		r.mu.Unlock()
 		return false
@@ -130,25 +130,25 @@
 	r.problem = ""
 	r.mu.Unlock()
 	r.step(consensus.Synced{Seq: w.Seq})
-	// Only what is on the disk comes into force: otherwise a restart would
-	// bring back an older file.
-	r.putAndTell(snapshotOf(&w.Record.Chosen))
+	// Only a synced file takes effect: otherwise a restart would bring back an
+	// older file.
+	r.installAndAnnounce(snapshotOf(&w.Record.Chosen))
 	return true
 }
 
-// retryLoop repeats what got no answer, with a growing and random wait so that
-// two proposers stop getting in each other's way.
+// retryLoop resends unanswered messages with exponential backoff and jitter, so
+// that two proposers stop obstructing each other.
 func (r *Register) retryLoop(ctx context.Context) {
 	for {
 		select {
-		case <-r.kick:
+		case <-r.retryNeeded:
 		case <-ctx.Done():
 			return
 		}
-		version := r.version()
-		for wait := retryFirst; r.busy(); wait = min(2*wait, retryMost) {
-			if v := r.version(); v != version {
-				version, wait = v, retryFirst
+		chosenVersion := r.chosenVersion()
+		for wait := retryMin; r.busy(); wait = min(2*wait, retryMax) {
+			if v := r.chosenVersion(); v != chosenVersion {
+				chosenVersion, wait = v, retryMin
 			}
 			if !sleep(ctx, jitter(wait)) {
 				return
@@ -166,57 +166,57 @@
 	return r.node.Busy()
 }
 
-func (r *Register) version() uint64 {
+func (r *Register) chosenVersion() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.node.Chosen.Version
 }
 
-// finishLoop forms the register and completes proposals whose proposer fell
-// silent.
+// finishLoop forms the register and completes proposals whose proposer became
+// unresponsive.
 func (r *Register) finishLoop(ctx context.Context) {
 	r.step(consensus.Finish{})
 	for {
 		wait := finishInterval
-		if r.founding() {
-			wait = foundInterval
+		if r.awaitingFormation() {
+			wait = formationPollInterval
 		}
 		if !sleep(ctx, jitter(wait)) {
 			return
 		}
-		if r.orphaned() {
+		if r.needsFinish() {
 			r.step(consensus.Finish{})
 		}
 	}
 }
 
-// foundInterval is how often an entry looks whether the entries that form the
-// register are known by now.
-const foundInterval = 100 * time.Millisecond
+// formationPollInterval is how often an entry checks whether the entries that form
+// the register are known.
+const formationPollInterval = 100 * time.Millisecond
 
-// founding tells the node who forms the register, once that is known, and
-// reports whether it is still waited for.
-func (r *Register) founding() bool {
+// awaitingFormation passes the entries that form the register to the node once they
+// are known. It reports whether the register is still to be formed.
+func (r *Register) awaitingFormation() bool {
 	if r.opts.Found == nil {
 		return false
 	}
 	r.mu.Lock()
-	waits := r.node.Chosen.Version == 0
+	unformed := r.node.Chosen.Version == 0
 	named := len(r.node.Genesis) > 0
 	r.mu.Unlock()
-	if !waits || named {
-		return waits
+	if !unformed || named {
+		return unformed
 	}
 	if genesis := r.opts.Found(); len(genesis) > 0 {
-		r.log.Info("the entries that form the register are known", "entries", genesis)
+		r.log.Info("initial voters known", "entries", genesis)
 		r.step(consensus.Founded{Genesis: genesis})
 	}
 	return true
 }
 
-// orphaned reports whether an accepted proposal has been waiting for two ticks,
-// or the register is not formed yet.
-func (r *Register) orphaned() bool {
+// needsFinish reports whether an accepted proposal has been pending for two ticks
+// without an attempt of this node, or the register is not formed yet.
+func (r *Register) needsFinish() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.node.Chosen.Version == 0 {
@@ -231,8 +231,8 @@
 	return r.idleTicks >= ticks
 }
 
-func (r *Register) contact(from job.EntryID) {
+func (r *Register) recordContact(from job.EntryID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard[from] = time.Now()
+	r.lastContact[from] = time.Now()
 }
--- a/internal/register/pack.go
+++ b/internal/register/pack.go
@@ -10,9 +10,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/config"
 )
 
-// pack compresses a file. The voters agree on the packed bytes, so they are what
-// travels and what is on disk: a file of a large fleet is some hundred lines that
-// differ in a word, and goes to each entry with each change.
+// pack compresses a file. The voters agree on the packed bytes, which are also sent
+// and stored. A file of a large fleet has some hundred lines that differ in a single
+// word, and every change sends it to every entry.
 func pack(body []byte) []byte {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestCompression)
@@ -25,8 +25,8 @@
 	return b.Bytes()
 }
 
-// unpack restores a file. What would become larger than any file is refused
-// before it takes the memory.
+// unpack decompresses a file. It stops at the maximum file size, so that a
+// malicious input can't exhaust the memory.
 func unpack(packed []byte) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(packed))
 	body, err := io.ReadAll(io.LimitReader(r, config.MaxFileBytes+1))
--- a/internal/register/pack_test.go
+++ b/internal/register/pack_test.go
@@ -9,8 +9,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/config"
 )
 
-// A broken or hostile peer sends a few bytes that unpack to gigabytes, or bytes
-// that are no packed file at all. An entry must refuse both and live.
+// A broken or malicious peer sends a few bytes that unpack to gigabytes, or bytes that
+// are no packed file. An entry must refuse both without crashing.
 func TestUnpackIsBounded(t *testing.T) {
 	for _, n := range []int{0, 1, config.MaxFileBytes} {
 		body := bytes.Repeat([]byte("a"), n)
@@ -22,7 +22,7 @@
 	qt.Assert(t, err, qt.ErrorMatches, ".*more than 1048576 bytes.*")
 	_, err = unpack([]byte("no packed file"))
 	qt.Assert(t, err, qt.IsNotNil)
-	text := []byte(largeFile(1))
+	text := []byte(largeConfig(1))
 	t.Logf("a file of %d bytes is packed to %d", len(text), len(pack(text)))
 	qt.Assert(t, len(pack(text)) < len(text)/4, qt.IsTrue)
 }
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -1,11 +1,11 @@
-// Package register runs the voters' agreement on the configuration and spreads
-// what was accepted to every entry.
+// Package register runs the consensus of the voters on the configuration and
+// distributes accepted configurations to every entry.
 //
-// An entry with a data folder is a node of package consensus; if the register
-// names its disk it votes. An entry without one learns: it is told of a new
-// number at once by the proposer's message, or by any heartbeat, and pulls the
-// file from whoever has it. Whatever happens, an entry serves with the newest
-// accepted file that it holds and never goes back to an older one.
+// An entry with a data folder is a node of package consensus and votes if the
+// register lists its disk as a voter. An entry without a data folder is a
+// learner: a voter's message or any heartbeat announces a new number, and the
+// learner pulls the file from an entry that holds it. An entry always serves with
+// the newest accepted file that it holds and never returns to an older one.
 package register
 
 import (
@@ -30,76 +30,77 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// Intervals of the register. A change spreads by messages at once; these bound
-// how long a lost message or a cut goes unnoticed. Together they stay below half
-// of the 6 s within which a change must be in force.
+// Intervals of the register. Messages distribute a change at once; the intervals
+// bound the time until a lost message or a partition is detected. Their sum stays
+// below half of the 6 s within which a change must be in effect.
 const (
 	probeInterval = 2 * time.Second
-	// silentAfter is how long a voter's last word is taken for news. It is the
-	// shortest time between two probes, so that the next probe after a lost
-	// message finds what it said.
-	silentAfter = probeInterval / 2
-	// finishInterval is how often a voter looks for a proposal that its
-	// proposer left behind.
+	// unresponsiveAfter is the time without a message after which a voter is
+	// probed. It equals the shortest time between two probes, so that the next
+	// probe after a lost message recovers the message's content.
+	unresponsiveAfter = probeInterval / 2
+	// finishInterval is how often a voter checks for a proposal that its
+	// proposer abandoned.
 	finishInterval = time.Second
-	// firstInterval is the pace of pulls while there is no configuration.
-	firstInterval = 200 * time.Millisecond
-	// staleAfter is how long a majority may be silent before an entry calls
-	// itself stale: two probes and their answers.
+	// bootstrapInterval is the time between pulls while there is no configuration.
+	bootstrapInterval = 200 * time.Millisecond
+	// staleAfter is how long a majority may be unreachable before an entry
+	// reports its configuration as stale: two probes and their answers.
 	staleAfter = 5 * time.Second
-	// retryFirst and retryMost bound the growing wait before an unanswered
-	// message is sent again.
-	retryFirst = 30 * time.Millisecond
-	retryMost  = time.Second
-	// writePause is the wait after a failed write.
-	writePause = time.Second
-	// pullTimeout bounds one pull.
+	// retryMin and retryMax bound the backoff before an unanswered message is
+	// sent again.
+	retryMin = 30 * time.Millisecond
+	retryMax = time.Second
+	// writeRetryDelay is the delay after a failed write.
+	writeRetryDelay = time.Second
+	// pullTimeout bounds a pull request.
 	pullTimeout = 2 * time.Second
 )
 
-// Options sets up a Register.
+// Options configures a Register.
 type Options struct {
 	Mesh peer.Mesh
 	// Store is nil for an entry without a disk.
 	Store *storage.Store
-	// Voters are the entries that form the register at the very first start of
-	// the fleet; later the register itself says who votes.
+	// Voters are the entries that form the register at the first start of the
+	// fleet. Afterwards the register itself stores the set of voters.
 	Voters []job.EntryID
-	// Found names the voters that form the register once they are known, where
-	// entries find each other by themselves; nil before. It is asked only while
-	// the register is not formed.
+	// Found returns the voters that form the register, where entries discover
+	// each other; nil until they are known. It is called only while the register
+	// is not formed.
 	Found func() []job.EntryID
-	// Entries are the entries that the settings name, Others those that were
-	// found since.
+	// Entries are the entries listed in the settings, Others those discovered
+	// since.
 	Entries []job.EntryID
 	Others  func() []job.EntryID
-	// Mend, when set, has the voters mended without an operator.
+	// Mend, when set, enables the repair of the voter set without an operator.
 	Mend *Mend
-	// Sparse reports whether heartbeats of few entries come here, so that voters which
-	// were not heard are mostly well; nil stands for never.
+	// Sparse reports whether this entry receives heartbeats from few entries only, so
+	// that most voters without recent messages are healthy. Nil means never.
 	Sparse func() bool
-	// Parse reads a file; nil takes config.Parse.
+	// Parse parses a file; nil means config.Parse.
 	Parse  func(name string, body []byte) (*config.File, error)
 	Log    *slog.Logger
 	Events timeline.Sink
-	// Clock gives the time of day for display; nothing is decided by it.
+	// Clock returns the time of day for display; no decision depends on it.
 	Clock func() time.Time
 }
 
-// Register is one entry's part in the agreement. It implements config.View.
+// Register is one entry's participant in the consensus. It implements config.View.
 type Register struct {
-	opts  Options
-	mesh  peer.Mesh
-	self  job.EntryID
-	log   *slog.Logger
-	ev    timeline.Sink
-	clock func() time.Time
+	opts   Options
+	mesh   peer.Mesh
+	self   job.EntryID
+	log    *slog.Logger
+	events timeline.Sink
+	clock  func() time.Time
 
 	current atomic.Pointer[snapshot]
-	// changing serialises the changes in force and guards watchers and changed.
-	changing sync.Mutex
-	watchers []func(old, updated *config.File)
-	// changed is closed and renewed when another file comes into force.
+	// installing serialises the installation of snapshots and guards watchers and
+	// changed.
+	installing sync.Mutex
+	watchers   []func(old, updated *config.File)
+	// changed is closed and replaced when another file takes effect.
 	changed chan struct{}
 
 	// hasDisk never changes after New.
@@ -107,58 +108,60 @@
 
 	mu sync.Mutex
 	// node is nil without a usable disk.
-	node      *consensus.State
-	pending   *consensus.Write
-	waiting   map[consensus.Token]chan consensus.Outcome
-	lastToken consensus.Token
-	problem   string
-	// foreign says that another fleet was met on the network.
-	foreign string
-	heard   map[job.EntryID]time.Time
-	// disks are the identities that entries last said of their disks.
+	node         *consensus.State
+	pendingWrite *consensus.Write
+	outcomes     map[consensus.Token]chan consensus.Outcome
+	lastToken    consensus.Token
+	problem      string
+	// foreignFleet describes another fleet that was found on the network.
+	foreignFleet string
+	lastContact  map[job.EntryID]time.Time
+	// disks are the disk identities that entries reported last.
 	disks   map[job.EntryID]consensus.Identity
 	started time.Time
 	stale   bool
-	// pulling names the entries that are being asked.
-	pulling   map[job.EntryID]bool
-	probed    int
-	idleTicks int
+	// pulling holds the entries with a pull in progress.
+	pulling    map[job.EntryID]bool
+	probeCount int
+	idleTicks  int
 
-	// mending belongs to the goroutine that mends the voters.
-	mending mending
-	// votersHeard, votersToLose and spareDisks are what it found last.
-	votersHeard, votersToLose, spareDisks atomic.Int64
+	// repairState is used only by the goroutine that runs repairLoop.
+	repairState repairState
+	// reachableVoters, lossesLeft and spareDisks are the results of its last
+	// assessment.
+	reachableVoters, lossesLeft, spareDisks atomic.Int64
 
-	kick     chan struct{}
-	write    chan struct{}
-	retiring chan struct{}
-	run      atomic.Pointer[context.Context]
+	retryNeeded chan struct{}
+	writeNeeded chan struct{}
+	retiring    chan struct{}
+	runCtx      atomic.Pointer[context.Context]
 }
 
 var _ config.View = (*Register)(nil)
 
-// New sets up a register and its message handlers. A disk that can't be read, or
-// whose record fails its check, makes the entry a learner, and State says so: a
-// voter that guessed at its votes could undo an accepted configuration.
+// New creates a register and installs its message handlers. If the disk can't be
+// read, or its record fails the integrity check, the entry becomes a learner and
+// State reports the problem: a voter that doesn't know its earlier votes could undo
+// an accepted configuration.
 func New(opts Options) *Register {
 	r := &Register{
 		opts: opts, mesh: opts.Mesh, self: opts.Mesh.Self().Entry,
-		log: opts.Log, ev: opts.Events, clock: opts.Clock,
-		changed: make(chan struct{}),
-		waiting: map[consensus.Token]chan consensus.Outcome{},
-		heard:   map[job.EntryID]time.Time{},
-		disks:   map[job.EntryID]consensus.Identity{},
-		pulling: map[job.EntryID]bool{},
-		kick:    make(chan struct{}, 1),
-		write:   make(chan struct{}, 1),
+		log: opts.Log, events: opts.Events, clock: opts.Clock,
+		changed:     make(chan struct{}),
+		outcomes:    map[consensus.Token]chan consensus.Outcome{},
+		lastContact: map[job.EntryID]time.Time{},
+		disks:       map[job.EntryID]consensus.Identity{},
+		pulling:     map[job.EntryID]bool{},
+		retryNeeded: make(chan struct{}, 1),
+		writeNeeded: make(chan struct{}, 1),
 
 		retiring: make(chan struct{}, 1),
 	}
 	if r.log == nil {
 		r.log = slog.New(slog.DiscardHandler)
 	}
-	if r.ev == nil {
-		r.ev = timeline.Discard{}
+	if r.events == nil {
+		r.events = timeline.Discard{}
 	}
 	if r.clock == nil {
 		r.clock = time.Now
@@ -176,7 +179,7 @@
 	return r
 }
 
-// load reads the record of the disk, or makes the first one.
+// load reads the record from the disk, or creates the first one.
 func (r *Register) load() {
 	record, err := loadRecord(r.opts.Store)
 	if errors.Is(err, errors.NotFound) {
@@ -193,7 +196,7 @@
 	}
 	node := consensus.Start(record, r.opts.Voters, randomUint64())
 	r.node, r.hasDisk = &node, true
-	r.put(snapshotOf(&record.Chosen))
+	r.install(snapshotOf(&record.Chosen))
 }
 
 func newIdentity() consensus.Identity {
@@ -208,9 +211,9 @@
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// Run takes part until ctx ends, and then closes the store.
+// Run participates in the consensus until ctx ends, and then closes the store.
 func (r *Register) Run(ctx context.Context) error {
-	r.run.Store(&ctx)
+	r.runCtx.Store(&ctx)
 	if r.opts.Store != nil {
 		defer func() { _ = r.opts.Store.Close() }()
 	}
@@ -221,14 +224,14 @@
 		wg.Go(func() { r.retryLoop(ctx) })
 		wg.Go(func() { r.finishLoop(ctx) })
 		if r.opts.Mend != nil {
-			wg.Go(func() { r.mendLoop(ctx) })
+			wg.Go(func() { r.repairLoop(ctx) })
 		}
 	}
 	r.probeLoop(ctx)
 	return nil
 }
 
-// Current returns the configuration in force on this entry; nil before any.
+// Current returns the configuration in effect on this entry; nil before the first.
 func (r *Register) Current() *config.File {
 	if s := r.current.Load(); s != nil {
 		return s.file
@@ -236,21 +239,21 @@
 	return nil
 }
 
-// OnChange registers a function that is called after each change in force, one
-// call at a time and in order. It must not block.
+// OnChange registers a function that is called whenever another file has taken
+// effect, one call at a time and in order. The function must not block.
 func (r *Register) OnChange(f func(old, updated *config.File)) {
-	r.changing.Lock()
-	defer r.changing.Unlock()
+	r.installing.Lock()
+	defer r.installing.Unlock()
 	r.watchers = append(r.watchers, f)
 }
 
-// put brings s into force if it is newer than what is.
-func (r *Register) put(s *snapshot) {
+// install puts s into effect if it is newer than the current snapshot.
+func (r *Register) install(s *snapshot) {
 	if s.Version == 0 {
 		return
 	}
-	r.changing.Lock()
-	defer r.changing.Unlock()
+	r.installing.Lock()
+	defer r.installing.Unlock()
 	old := r.current.Load()
 	if old != nil && (old.Version >= s.Version || old.Lineage != s.Lineage) {
 		return
@@ -261,39 +264,41 @@
 		r.current.Store(s)
 		return
 	}
-	var before *config.File
+	var previous *config.File
 	if old != nil {
-		before = old.file
+		previous = old.file
 	}
 	if s.Change.Number > 0 {
-		if err := s.read(r.opts.Parse); err != nil {
-			// Another release accepted what this one can't read. The file
-			// in force stays, and the number shows what is missing.
+		if err := s.decode(r.opts.Parse); err != nil {
+			// Another release accepted a file that this one can't read. The
+			// previous file stays in effect, and the number shows which file
+			// is missing.
 			r.log.Error("the accepted configuration can't be read", "number", s.Change.Number, "error", err)
-			s.file = before
+			s.file = previous
 		}
 	}
 	r.current.Store(s)
-	if s.file == nil || s.file == before {
+	if s.file == nil || s.file == previous {
 		return
 	}
 	r.log.Info("configuration in force", "number", s.Change.Number, "digest", s.Change.Digest.String())
-	r.ev.Record(timeline.Event{Kind: timeline.ConfigurationSet, Cause: s.describe(), Took: s.spreadTime()})
+	r.events.Record(timeline.Event{Kind: timeline.ConfigurationSet, Cause: s.describe(), Took: s.propagationTime()})
 	for _, f := range r.watchers {
-		f(before, s.file)
+		f(previous, s.file)
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// nextChange returns a channel that is closed when the next file is in force.
+// nextChange returns a channel that is closed when the next file takes effect.
 func (r *Register) nextChange() <-chan struct{} {
-	r.changing.Lock()
-	defer r.changing.Unlock()
+	r.installing.Lock()
+	defer r.installing.Unlock()
 	return r.changed
 }
 
-// AwaitFirst waits until a configuration is in force, or ctx ends, and reports whether one is.
+// AwaitFirst waits until a configuration is in effect or ctx ends. It reports whether
+// one is in effect.
 func (r *Register) AwaitFirst(ctx context.Context) bool {
 	for {
 		changed := r.nextChange()
@@ -308,7 +313,7 @@
 	}
 }
 
-// voters returns who votes, as far as this entry knows.
+// voters returns the voters that this entry knows.
 func (r *Register) voters() []job.EntryID {
 	s := r.current.Load()
 	if s == nil {
@@ -321,7 +326,7 @@
 	return names
 }
 
-// others returns all known entries but this one.
+// others returns all known entries except this one.
 func (r *Register) others() []job.EntryID {
 	all := slices.Concat(r.voters(), r.opts.Voters, r.opts.Entries)
 	if r.opts.Others != nil {
@@ -332,7 +337,8 @@
 	return slices.DeleteFunc(all, func(e job.EntryID) bool { return e == r.self })
 }
 
-// jitter spreads d over its upper half, so that entries do not act in step.
+// jitter returns a random duration between d/2 and d, so that entries do not act
+// in lockstep.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + mathrand.N(d/2+1)
 }
--- a/internal/register/register_test.go
+++ b/internal/register/register_test.go
@@ -13,7 +13,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 )
 
-func TestApplyFromAnyEntryIsInForceEverywhere(t *testing.T) {
+func TestApplyFromAnyEntryTakesEffectEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 4)
 		defer f.stopAll()
@@ -23,7 +23,7 @@
 		for number := 1; number <= 7; number++ {
 			f.mustApply(f.entries[number-1], number)
 		}
-		f.inForce(7, time.Second, f.entries...)
+		f.assertInEffect(7, time.Second, f.entries...)
 		qt.Assert(t, seen[len(seen)-1], qt.Equals, uint64(7))
 		for i := range seen[1:] {
 			qt.Assert(t, seen[i] < seen[i+1], qt.IsTrue)
@@ -38,10 +38,10 @@
 	})
 }
 
-// An operator's script applies the first file and sends a job right after the answer, to
-// the same entry. The file was accepted by a majority, but not yet in force there: the
-// job was refused as not configured.
-func TestAppliedFileIsInForceWhenApplyReturns(t *testing.T) {
+// Guards against a job that is refused as not configured when a script sends it right
+// after applying the first file on the same entry: a majority had accepted the file, but it
+// had not yet taken effect on that entry.
+func TestAppliedFileIsInEffectWhenApplyReturns(t *testing.T) {
 	for _, voters := range []int{1, 3} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, voters, 2)
@@ -57,14 +57,14 @@
 	}
 }
 
-// An accepted file does not come into force at the entry that was asked, since that one
-// can't pull it. The operator is told within a second that it was accepted: the change
-// is not called lost for that.
+// The entry that receives an apply can't pull the accepted file, so the file does not take
+// effect there. The operator must still get the answer that the change was accepted within
+// a second, and no error.
 func TestApplyDoesNotWaitLongForItsOwnEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 0)
 		defer f.stopAll()
-		f.wrap = func(m peer.Mesh) peer.Mesh { return deafMesh{m} }
+		f.wrap = func(m peer.Mesh) peer.Mesh { return pullLosingMesh{m} }
 		f.start("l1", nil)
 		time.Sleep(3 * time.Second)
 		begun := time.Now()
@@ -73,10 +73,10 @@
 	})
 }
 
-// deafMesh loses the answers to pulls.
-type deafMesh struct{ peer.Mesh }
+// pullLosingMesh rejects every pull request.
+type pullLosingMesh struct{ peer.Mesh }
 
-func (m deafMesh) Call(ctx context.Context, to job.EntryID, kind peer.Kind, req, answer any) error {
+func (m pullLosingMesh) Call(ctx context.Context, to job.EntryID, kind peer.Kind, req, answer any) error {
 	if kind == peer.ConfigPull {
 		return peer.ErrRejected
 	}
@@ -91,20 +91,21 @@
 			time.Sleep(3 * time.Second)
 			f.mustApply(f.entries[len(f.entries)-1], 1)
 			f.mustApply("v1", 2)
-			f.inForce(2, time.Second, f.entries...)
+			f.assertInEffect(2, time.Second, f.entries...)
 			if size.voters == 5 {
 				f.cut(true, "v1", "v2")
 				f.mustApply("l1", 3)
 				f.cut(false, "v1", "v2")
-				f.inForce(3, 4*time.Second, f.entries...)
+				f.assertInEffect(3, 4*time.Second, f.entries...)
 			}
 		})
 	}
 }
 
-// The one message that a voter needed is lost in a short cut, just after it had
-// heard from everybody. It must find out at its next probe, two seconds at most.
-func TestLostMessageIsMadeUpFor(t *testing.T) {
+// A short partition loses the one message that a voter needs, right after the voter
+// had contact with all others. The voter must get the change by its next probe, within
+// two seconds.
+func TestLostMessageIsRecovered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5, 0)
 		defer f.stopAll()
@@ -113,14 +114,13 @@
 			f.cut(true, "v1")
 			f.mustApply("v2", number)
 			f.cut(false, "v1")
-			f.inForce(uint64(number), probeInterval+50*time.Millisecond, f.entries...)
+			f.assertInEffect(uint64(number), probeInterval+50*time.Millisecond, f.entries...)
 		}
 	})
 }
 
-// Guards against callers who come back in the moment after a loss of power and are refused
-// for a configuration that is a tenth of a second away, and against ones who are held for one
-// that does not come.
+// Guards against refusing callers right after a power loss although a configuration arrives
+// a tenth of a second later, and against blocking callers when no configuration arrives.
 func TestAwaitFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 1)
--- a/internal/register/mend_test.go
+++ b/internal/register/repair_test.go
@@ -18,8 +18,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// mending has the fleet mend its voters. An entry counts as alive while it runs.
-func (f *fleet) mending(want int) {
+// enableRepair enables the repair of the voter set. An entry counts as alive while it
+// runs.
+func (f *fleet) enableRepair(want int) {
 	since := map[job.EntryID]time.Time{}
 	alive := map[job.EntryID]bool{}
 	f.mend = &Mend{Want: want, Disks: func() []voters.Disk {
@@ -27,12 +28,12 @@
 		defer f.mu.Unlock()
 		var out []voters.Disk
 		for _, e := range f.entries {
-			runs := f.nodes[e] != nil
-			if runs != alive[e] || since[e].IsZero() {
-				alive[e], since[e] = runs, time.Now()
+			running := f.nodes[e] != nil
+			if running != alive[e] || since[e].IsZero() {
+				alive[e], since[e] = running, time.Now()
 			}
 			liveness := voters.Dead
-			if runs {
+			if running {
 				liveness = voters.Alive
 			}
 			out = append(out, voters.Disk{Entry: e, Zone: job.Zone(e), Liveness: liveness, Since: since[e]})
@@ -41,20 +42,20 @@
 	}}
 }
 
-// catchUp is how long after the return of a VM the next may be lost.
+// catchUp is the shortest time between the return of a VM and the next loss.
 const catchUp = 6 * time.Second
 
 // voterCount returns how many voters the entry knows of.
 func (f *fleet) voterCount(e job.EntryID) int { return len(f.nodes[e].State().Voters) }
 
 // newWidenedFleet starts five entries with disks, of which three form the register,
-// and lets them widen it to five voters.
+// and waits until they have added the other two as voters.
 func newWidenedFleet(t *testing.T, events timeline.Sink) *fleet {
 	f := &fleet{t: t, nodes: map[job.EntryID]*member{}, events: events}
 	f.net = newNetwork()
 	f.voters = []job.EntryID{"v1", "v2", "v3"}
 	f.entries = []job.EntryID{"v1", "v2", "v3", "v4", "v5"}
-	f.mending(5)
+	f.enableRepair(5)
 	for _, e := range f.entries {
 		f.start(e, &storagetest.FS{})
 	}
@@ -63,12 +64,12 @@
 	return f
 }
 
-// The fleet has to bear two lost disks and starts with three voters. It widens
-// itself to five, and then two disks are lost together right after a change was
-// acknowledged, while all others lose power: aimed at those that took it. The
-// change must be in force again soon, and the lost disks be given their places
-// back, before two more are lost in the same way.
-func TestAcknowledgedChangeOutlivesAimedWipes(t *testing.T) {
+// The fleet has to tolerate two lost disks. It starts with three voters and adds two.
+// Right after a change is acknowledged all entries lose power, and two of them lose
+// their disks too, among them the one that received the change. The change must soon be
+// in effect again and the emptied disks must vote again, before two more disks are lost
+// in the same way.
+func TestAcknowledgedChangeSurvivesTargetedDiskLoss(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -80,9 +81,9 @@
 					at := f.entries[r.IntN(len(f.entries))]
 					f.mustApply(at, number)
 					time.Sleep(time.Duration(r.IntN(40)) * time.Millisecond)
-					f.strike(r, at)
+					f.losePowerAndDisks(r, at)
 					begun := time.Now()
-					f.confirmed(uint64(number), catchUp)
+					f.assertConfirmed(uint64(number), catchUp)
 					time.Sleep(catchUp - time.Since(begun))
 					for _, e := range f.entries {
 						qt.Assert(t, f.nodes[e].State().Voter, qt.IsTrue, qt.Commentf("%s does not vote in round %d: %s", e, round, f.nodes[e].State().Serving))
@@ -93,13 +94,13 @@
 	}
 }
 
-// voterChanges keeps the causes of changes of the voters.
-type voterChanges struct {
+// voterChangeRecorder records the causes of changes of the voters.
+type voterChangeRecorder struct {
 	mu     sync.Mutex
 	causes []string
 }
 
-func (v *voterChanges) Record(ev timeline.Event) {
+func (v *voterChangeRecorder) Record(ev timeline.Event) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if ev.Kind == timeline.VotersChanged {
@@ -107,12 +108,12 @@
 	}
 }
 
-// A fleet that has to bear two lost disks forms with three and widens itself. Who later
-// asks why another disk votes finds each change of the voters in the time line, with its
-// cause.
+// A fleet that has to tolerate two lost disks starts with three voters and adds two. The
+// time line must show each change of the voters with its cause, so that an operator can
+// find out later why a disk votes.
 func TestChangesOfVotersAreRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		changes := &voterChanges{}
+		changes := &voterChangeRecorder{}
 		f := newWidenedFleet(t, changes)
 		defer f.stopAll()
 		changes.mu.Lock()
@@ -124,10 +125,11 @@
 	})
 }
 
-// strike takes power from all entries; the first and another one lose their disks.
-func (f *fleet) strike(r *rand.Rand, aimed job.EntryID) {
-	others := slices.DeleteFunc(slices.Clone(f.entries), func(e job.EntryID) bool { return e == aimed })
-	wiped := []job.EntryID{aimed, others[r.IntN(len(others))]}
+// losePowerAndDisks cuts the power of all entries. The targeted entry and a random other
+// one lose their disks.
+func (f *fleet) losePowerAndDisks(r *rand.Rand, targeted job.EntryID) {
+	others := slices.DeleteFunc(slices.Clone(f.entries), func(e job.EntryID) bool { return e == targeted })
+	wiped := []job.EntryID{targeted, others[r.IntN(len(others))]}
 	disks := map[job.EntryID]*storagetest.FS{}
 	for _, e := range f.entries {
 		disks[e] = f.crash(e, storagetest.Keeps[r.IntN(len(storagetest.Keeps))])
@@ -136,7 +138,7 @@
 	founders := f.voters
 	for _, e := range f.entries {
 		if slices.Contains(wiped, e) {
-			// An emptied disk is not told who formed the register.
+			// An entry with an empty disk does not know who formed the register.
 			f.voters = nil
 			f.start(e, &storagetest.FS{})
 			f.voters = founders
@@ -146,14 +148,14 @@
 	}
 }
 
-// confirmed wants each entry to confirm the number within the time, and no entry
-// ever to confirm an older one.
-func (f *fleet) confirmed(number uint64, within time.Duration) {
+// assertConfirmed asserts that each entry confirms the number in time, and that no
+// entry confirms another one.
+func (f *fleet) assertConfirmed(number uint64, within time.Duration) {
 	f.t.Helper()
-	f.confirmedOn(f.entries, number, within)
+	f.assertConfirmedOn(f.entries, number, within)
 }
 
-func (f *fleet) confirmedOn(entries []job.EntryID, number uint64, within time.Duration) {
+func (f *fleet) assertConfirmedOn(entries []job.EntryID, number uint64, within time.Duration) {
 	f.t.Helper()
 	deadline := time.Now().Add(within)
 	for _, e := range entries {
@@ -173,15 +175,15 @@
 	}
 }
 
-// Three voters of three zones and a spare: one VM is gone for good, and the spare
-// takes its place without an operator; the one that returns later is the spare.
+// In a fleet of three voters in three zones and a spare, one voter's VM is lost. The
+// spare must replace it without an operator. If the VM returns later, it is the spare.
 func TestLostVoterIsReplacedBySpare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{t: t, nodes: map[job.EntryID]*member{}}
 		f.net = newNetwork()
 		f.voters = []job.EntryID{"v1", "v2", "v3"}
 		f.entries = []job.EntryID{"v1", "v2", "v3", "v4"}
-		f.mending(3)
+		f.enableRepair(3)
 		for _, e := range f.entries {
 			f.start(e, &storagetest.FS{})
 		}
@@ -190,23 +192,24 @@
 		f.mustApply("v1", 1)
 		disk := f.crash("v3", storagetest.KeepAll)
 		time.Sleep(voters.AwayTime + 3*time.Second)
-		names := f.nodes["v1"].State()
-		qt.Assert(t, slices.Contains(names.VoterEntries(), "v4"), qt.IsTrue)
-		qt.Assert(t, slices.Contains(names.VoterEntries(), "v3"), qt.IsFalse)
+		state := f.nodes["v1"].State()
+		qt.Assert(t, slices.Contains(state.VoterEntries(), "v4"), qt.IsTrue)
+		qt.Assert(t, slices.Contains(state.VoterEntries(), "v3"), qt.IsFalse)
 		f.start("v3", disk)
 		f.mustApply("v2", 2)
-		f.inForce(2, 5*time.Second, "v1", "v2", "v3", "v4")
+		f.assertInEffect(2, 5*time.Second, "v1", "v2", "v3", "v4")
 	})
 }
 
-// Guards against a voter that is taken for emptied because of what was last heard of its disk.
-func TestStaleWordOfADiskIsNoLostDisk(t *testing.T) {
+// Guards against replacing a voter whose last known disk identity is out of date, as if its
+// disk were lost.
+func TestOutdatedDiskIdentityReplacesNoVoter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		changes := &voterChanges{}
+		changes := &voterChangeRecorder{}
 		f := newWidenedFleet(t, changes)
 		defer f.stopAll()
 		before := f.nodes["v1"].State().Version
-		f.nodes["v1"].noteDisk("v3", "the disk before this one")
+		f.nodes["v1"].recordDisk("v3", "the disk before this one")
 		time.Sleep(catchUp)
 		qt.Assert(t, f.nodes["v1"].State().Version, qt.Equals, before)
 		changes.mu.Lock()
--- a/internal/register/series_test.go
+++ b/internal/register/series_test.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	// suspected and declared are after which silence the membership suspects an
-	// entry and declares it dead.
-	suspected = time.Second
-	declared  = 2750 * time.Millisecond
+	// suspectAfter and deadAfter are the times without contact after which the
+	// membership suspects an entry and declares it dead.
+	suspectAfter = time.Second
+	deadAfter    = 2750 * time.Millisecond
 )
 
-// series is a fleet whose VMs are replaced for good, one round after the other.
-type series struct {
+// replacementSeries is a fleet whose VMs are permanently replaced, one round after the
+// other.
+type replacementSeries struct {
 	*fleet
-	r     *rand.Rand
-	made  int
-	begun map[job.EntryID]time.Time
-	ended map[job.EntryID]time.Time
-	// draining are the entries that are about to stop as planned.
+	r         *rand.Rand
+	created   int
+	startedAt map[job.EntryID]time.Time
+	stoppedAt map[job.EntryID]time.Time
+	// draining holds the entries with a planned stop in progress.
 	draining map[job.EntryID]bool
 }
 
-func newSeries(t *testing.T, seed uint64, disks, want int) *series {
-	s := &series{
-		fleet: &fleet{t: t, nodes: map[job.EntryID]*member{}, net: newNetwork()},
-		r:     rand.New(rand.NewPCG(seed, uint64(want))),
-		begun: map[job.EntryID]time.Time{}, ended: map[job.EntryID]time.Time{}, draining: map[job.EntryID]bool{},
+func newSeries(t *testing.T, seed uint64, disks, want int) *replacementSeries {
+	s := &replacementSeries{
+		fleet:     &fleet{t: t, nodes: map[job.EntryID]*member{}, net: newNetwork()},
+		r:         rand.New(rand.NewPCG(seed, uint64(want))),
+		startedAt: map[job.EntryID]time.Time{}, stoppedAt: map[job.EntryID]time.Time{}, draining: map[job.EntryID]bool{},
 	}
-	s.mend = &Mend{Want: want, Disks: s.seen}
+	s.mend = &Mend{Want: want, Disks: s.listDisks}
 	for range disks {
-		s.entries = append(s.entries, s.name())
+		s.entries = append(s.entries, s.newName())
 	}
 	s.voters = slices.Clone(s.entries[:3])
 	for _, e := range s.entries {
@@ -50,29 +51,30 @@
 	return s
 }
 
-func (s *series) name() job.EntryID {
-	s.made++
-	return job.EntryID(fmt.Sprintf("v%02d", s.made))
+func (s *replacementSeries) newName() job.EntryID {
+	s.created++
+	return job.EntryID(fmt.Sprintf("v%02d", s.created))
 }
 
-func (s *series) add(e job.EntryID) { s.comeBack(e, &storagetest.FS{}) }
+func (s *replacementSeries) add(e job.EntryID) { s.restart(e, &storagetest.FS{}) }
 
-// seen is what the membership tells of the disks: silence shows after a while only.
-func (s *series) seen() []voters.Disk {
+// listDisks lists the disks as the membership sees them: it detects unresponsive entries
+// only after some time.
+func (s *replacementSeries) listDisks() []voters.Disk {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []voters.Disk
 	for _, e := range s.entries {
-		d := voters.Disk{Entry: e, Zone: job.Zone(e), Liveness: voters.Alive, Since: s.begun[e]}
+		d := voters.Disk{Entry: e, Zone: job.Zone(e), Liveness: voters.Alive, Since: s.startedAt[e]}
 		if s.draining[e] {
 			d.Liveness = voters.Draining
 		}
-		if at, gone := s.ended[e]; gone {
+		if at, gone := s.stoppedAt[e]; gone {
 			switch silent := time.Since(at); {
-			case silent >= declared:
-				d.Liveness, d.Since = voters.Dead, at.Add(declared)
-			case silent >= suspected:
-				d.Liveness, d.Since = voters.Suspect, at.Add(suspected)
+			case silent >= deadAfter:
+				d.Liveness, d.Since = voters.Dead, at.Add(deadAfter)
+			case silent >= suspectAfter:
+				d.Liveness, d.Since = voters.Suspect, at.Add(suspectAfter)
 			}
 		}
 		out = append(out, d)
@@ -80,9 +82,9 @@
 	return out
 }
 
-// replace loses entries for good and has an empty disk of another name start for each
-// of them. It returns when they count as lost no more.
-func (s *series) replace(lost []job.EntryID, gap, catchUp time.Duration) {
+// replace removes entries permanently and starts an entry with a new name and an empty
+// disk for each of them. It returns when they no longer count as lost.
+func (s *replacementSeries) replace(lost []job.EntryID, gap, catchUp time.Duration) {
 	for _, e := range lost {
 		s.lose(e)
 	}
@@ -93,22 +95,22 @@
 	time.Sleep(catchUp)
 }
 
-func (s *series) lose(e job.EntryID) {
+func (s *replacementSeries) lose(e job.EntryID) {
 	s.crash(e, storagetest.KeepAll)
-	s.setEnded(e)
+	s.recordStop(e)
 }
 
-// addNext starts an empty disk of a new name.
-func (s *series) addNext() {
-	e := s.name()
+// addNext starts an entry with a new name and an empty disk.
+func (s *replacementSeries) addNext() {
+	e := s.newName()
 	s.mu.Lock()
 	s.entries = append(s.entries, e)
 	s.mu.Unlock()
 	s.add(e)
 }
 
-// stopPlanned has an entry stop as planned.
-func (s *series) stopPlanned(e job.EntryID) {
+// stopPlanned performs a planned stop of an entry.
+func (s *replacementSeries) stopPlanned(e job.EntryID) {
 	s.mu.Lock()
 	s.draining[e] = true
 	s.mu.Unlock()
@@ -116,8 +118,8 @@
 	s.lose(e)
 }
 
-// alive lists the entries that run, in random order.
-func (s *series) alive() []job.EntryID {
+// alive lists the running entries in random order.
+func (s *replacementSeries) alive() []job.EntryID {
 	var out []job.EntryID
 	for _, e := range s.entries {
 		if s.nodes[e] != nil {
@@ -128,43 +130,43 @@
 	return out
 }
 
-// powerOff stops all entries at once and starts them again from their disks.
-func (s *series) powerOff() { s.powerOffWithout(nil) }
+// powerOff crashes all entries at once and restarts them with their disks.
+func (s *replacementSeries) powerOff() { s.powerOffWithout(nil) }
 
-// powerOffWithout does so with the disks of some lost.
-func (s *series) powerOffWithout(lost []job.EntryID) {
+// powerOffWithout is powerOff with some disks lost.
+func (s *replacementSeries) powerOffWithout(lost []job.EntryID) {
 	running := s.alive()
 	disks := map[job.EntryID]*storagetest.FS{}
 	for _, e := range running {
 		disks[e] = s.crash(e, storagetest.KeepNone)
-		s.setEnded(e)
+		s.recordStop(e)
 	}
 	for _, e := range lost {
 		disks[e] = &storagetest.FS{}
 	}
 	time.Sleep(time.Second)
 	for _, e := range running {
-		s.comeBack(e, disks[e])
+		s.restart(e, disks[e])
 	}
 }
 
-// setEnded notes that an entry has ended.
-func (s *series) setEnded(e job.EntryID) {
+// recordStop records the time at which an entry stopped.
+func (s *replacementSeries) recordStop(e job.EntryID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended[e] = time.Now()
+	s.stoppedAt[e] = time.Now()
 }
 
-// comeBack starts an entry again.
-func (s *series) comeBack(e job.EntryID, disk *storagetest.FS) {
+// restart starts an entry with the given disk and records the time.
+func (s *replacementSeries) restart(e job.EntryID, disk *storagetest.FS) {
 	s.mu.Lock()
-	s.begun[e] = time.Now()
-	delete(s.ended, e)
+	s.startedAt[e] = time.Now()
+	delete(s.stoppedAt, e)
 	s.mu.Unlock()
 	s.start(e, disk)
 }
 
-// Guards against a voter that is replaced only after the next loss that the fleet has to bear.
+// Guards against replacing a voter only after the next loss that the fleet has to tolerate.
 func TestVotersReplacedInSeriesKeepTheirMajority(t *testing.T) {
 	cases := []struct {
 		name                  string
@@ -190,14 +192,15 @@
 						s.replace(s.alive()[:c.together], c.gap, c.catchUp)
 					}
 					s.powerOff()
-					s.confirmedOn(s.alive(), rounds, 12*time.Second)
+					s.assertConfirmedOn(s.alive(), rounds, 12*time.Second)
 				})
 			})
 		}
 	}
 }
 
-// Guards against a planned replacement that leaves the set one loss short until it is mended.
+// Guards against a planned replacement after which the set tolerates one loss less until its
+// repair.
 func TestPlannedReplacementLeavesNoGap(t *testing.T) {
 	sizes := []struct{ disks, want, together int }{{3, 3, 1}, {5, 5, 2}}
 	for _, size := range sizes {
@@ -215,62 +218,65 @@
 					s.replace(voting[1:1+size.together], time.Second, 6*time.Second)
 					s.mustApply(s.alive()[0], 2)
 					s.powerOff()
-					s.confirmedOn(s.alive(), 2, 12*time.Second)
+					s.assertConfirmedOn(s.alive(), 2, 12*time.Second)
 				})
 			})
 		}
 	}
 }
 
-// losses are the ways in which n entries are lost and replaced or come back. Each returns
-// when the next ones may be lost.
-var losses = map[string]func(s *series, n int, catchUp time.Duration){
-	"replaced": func(s *series, n int, catchUp time.Duration) {
-		s.replace(s.alive()[:n], s.upTo(2*time.Second), catchUp)
+// losses are the ways in which n entries are lost and then replaced or restarted. Each
+// returns when the next entries may be lost.
+var losses = map[string]func(s *replacementSeries, n int, catchUp time.Duration){
+	"replaced": func(s *replacementSeries, n int, catchUp time.Duration) {
+		s.replace(s.alive()[:n], s.randomUpTo(2*time.Second), catchUp)
 	},
-	"replaced as planned": func(s *series, n int, catchUp time.Duration) {
+	"replaced as planned": func(s *replacementSeries, n int, catchUp time.Duration) {
 		for _, e := range s.alive()[:n] {
 			s.addNext()
 			time.Sleep(catchUp)
 			s.stopPlanned(e)
 		}
 	},
-	"disks lost": func(s *series, n int, catchUp time.Duration) {
-		s.away(s.alive()[:n], s.upTo(5*time.Second), false)
+	"disks lost": func(s *replacementSeries, n int, catchUp time.Duration) {
+		s.restartAfter(s.alive()[:n], s.randomUpTo(5*time.Second), false)
 		time.Sleep(catchUp)
 	},
-	"away for a while": func(s *series, n int, catchUp time.Duration) {
-		s.away(s.alive()[:n], s.upTo(8*time.Second), true)
+	"away for a while": func(s *replacementSeries, n int, catchUp time.Duration) {
+		s.restartAfter(s.alive()[:n], s.randomUpTo(8*time.Second), true)
 		time.Sleep(catchUp)
 	},
-	"all power lost, and disks": func(s *series, n int, catchUp time.Duration) {
+	"all power lost, and disks": func(s *replacementSeries, n int, catchUp time.Duration) {
 		s.powerOffWithout(s.alive()[:n])
 		time.Sleep(catchUp)
 	},
 }
 
-// away ends entries within a moment and has them come back, with their disks or with
-// empty ones.
-func (s *series) away(entries []job.EntryID, d time.Duration, keep bool) {
+// restartAfter crashes entries shortly one after the other and restarts them after d, with
+// their disks or with empty ones.
+func (s *replacementSeries) restartAfter(entries []job.EntryID, d time.Duration, keep bool) {
 	disks := map[job.EntryID]*storagetest.FS{}
 	for _, e := range entries {
 		disks[e] = &storagetest.FS{}
 		if found := s.crash(e, storagetest.KeepNone); keep {
 			disks[e] = found
 		}
-		s.setEnded(e)
-		time.Sleep(s.upTo(300 * time.Millisecond))
+		s.recordStop(e)
+		time.Sleep(s.randomUpTo(300 * time.Millisecond))
 	}
 	time.Sleep(d)
 	for _, e := range entries {
-		s.comeBack(e, disks[e])
+		s.restart(e, disks[e])
 	}
 }
 
-func (s *series) upTo(d time.Duration) time.Duration { return time.Duration(s.r.Int64N(int64(d))) }
+func (s *replacementSeries) randomUpTo(d time.Duration) time.Duration {
+	return time.Duration(s.r.Int64N(int64(d)))
+}
 
-// Guards against losses of different kinds in series that the voters don't outlive.
-func TestVotersOutliveLossesOfAllKindsInSeries(t *testing.T) {
+// Guards against losing the majority or an acknowledged change in a series of losses of
+// different kinds.
+func TestVotersSurviveMixedLossesInSeries(t *testing.T) {
 	sizes := []struct {
 		disks, want int
 		catchUp     time.Duration
@@ -286,17 +292,17 @@
 					const rounds = 6
 					for round := range rounds {
 						s.mustApply(s.alive()[0], round+1)
-						time.Sleep(s.upTo(50 * time.Millisecond))
+						time.Sleep(s.randomUpTo(50 * time.Millisecond))
 						name := names[s.r.IntN(len(names))]
 						t.Log(name)
 						losses[name](s, 1+s.r.IntN(size.want/2), size.catchUp)
 					}
-					s.confirmedOn(s.alive(), rounds, 12*time.Second)
+					s.assertConfirmedOn(s.alive(), rounds, 12*time.Second)
 				})
 			})
 		}
 	}
 }
 
-// lossSeeds is how many courses each size is tried in.
+// lossSeeds is the number of seeds that each size is tested with.
 const lossSeeds = 8
--- a/internal/register/state.go
+++ b/internal/register/state.go
@@ -13,32 +13,32 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// State is what an entry says of its configuration.
+// State describes an entry's configuration and its participation in the register.
 type State struct {
-	// Version counts all changes of the register, those of its voters included.
+	// Version counts all changes of the register, including changes of its voters.
 	Version  uint64
 	Number   uint64
 	Digest   string
 	ChangeID string
-	// Since is when it came into force on this entry.
+	// Since is when the configuration took effect on this entry.
 	Since time.Time
-	// Stale says that no majority of the voters was heard for some seconds: a
-	// newer configuration may exist. StaleSince is when one was last heard.
+	// Stale is set when no majority of the voters was reachable for some seconds: a
+	// newer configuration may exist. StaleSince is when one was last reachable.
 	Stale      bool
 	StaleSince time.Time
-	// Voter says that this entry's vote counts.
+	// Voter is set when this entry votes.
 	Voter bool
 	// Identity names this entry's disk; empty without one.
 	Identity string
 	Voters   []consensus.Voter
-	// Problem says why a data folder is not used or not written, or that the
-	// entry met another fleet.
+	// Problem says why the data folder is not used or not written, or that the
+	// entry found another fleet on the network.
 	Problem string
-	// Serving says all this in one line.
+	// Serving summarises the state in one line.
 	Serving string
 }
 
-// State returns the entry's present state.
+// State returns the entry's current state.
 func (r *Register) State() State {
 	now := time.Now()
 	stale, since := r.staleness(now)
@@ -49,7 +49,7 @@
 	r.mu.Lock()
 	out.Problem = r.problem
 	if out.Problem == "" {
-		out.Problem = r.foreign
+		out.Problem = r.foreignFleet
 	}
 	var self consensus.Voter
 	if r.node != nil {
@@ -66,7 +66,7 @@
 		}
 	}
 	if out.Problem == "" && out.Identity != "" && !out.Voter && slices.Contains(out.VoterEntries(), r.self) {
-		out.Problem = "the data folder is not the one that votes under this name; replace-voter gives it the place"
+		out.Problem = "the data folder is not the one registered as voter under this name; replace-voter registers it"
 	}
 	out.Serving = out.line()
 	return out
@@ -78,7 +78,7 @@
 		line = fmt.Sprintf("configuration %d, digest %s, in force since %s", s.Number, s.Digest, s.Since.UTC().Format(time.RFC3339))
 	}
 	if s.Stale {
-		line += fmt.Sprintf("; stale: no majority of the voters heard since %s", s.StaleSince.UTC().Format(time.RFC3339))
+		line += fmt.Sprintf("; stale: no majority of the voters reachable since %s", s.StaleSince.UTC().Format(time.RFC3339))
 	}
 	if s.Problem != "" {
 		line += "; problem: " + s.Problem
@@ -86,15 +86,15 @@
 	return line
 }
 
-// staleness reports whether a majority of the voters has been silent for too
-// long, and since when.
+// staleness reports whether no majority of the voters has been reachable for
+// longer than staleAfter, and when one was last reachable.
 func (r *Register) staleness(now time.Time) (bool, time.Time) {
 	voters := r.voters()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	times := make([]time.Time, 0, len(voters))
 	for _, v := range voters {
-		at := r.heard[v]
+		at := r.lastContact[v]
 		if v == r.self && r.node != nil && r.node.Voting() {
 			at = now
 		}
@@ -112,8 +112,9 @@
 	return now.Sub(last) > staleAfter, last
 }
 
-// judge notes in the time line when the entry becomes stale and when it is over.
-func (r *Register) judge() {
+// updateStaleness records in the time line when the entry's configuration becomes
+// stale and when it stops being stale.
+func (r *Register) updateStaleness() {
 	stale, since := r.staleness(time.Now())
 	r.mu.Lock()
 	changed := stale != r.stale
@@ -122,36 +123,37 @@
 	if !changed {
 		return
 	}
-	cause := "a majority of the voters is heard again"
+	cause := "a majority of the voters is reachable again"
 	if stale {
-		cause = "no majority of the voters heard since " + since.UTC().Format(time.RFC3339)
+		cause = "no majority of the voters reachable since " + since.UTC().Format(time.RFC3339)
 	}
 	r.log.Warn("staleness of the configuration changed", "stale", stale, "cause", cause)
-	r.ev.Record(timeline.Event{Kind: timeline.ConfigurationStale, Cause: cause})
+	r.events.Record(timeline.Event{Kind: timeline.ConfigurationStale, Cause: cause})
 }
 
-// ConfirmBody returns the file that a majority of the voters knows as the latest
-// one at some moment during the call. Its error is ErrUnavailable or ErrUnknown
-// where that can't be said: an older file is never returned.
+// ConfirmBody returns the file that a majority of the voters holds as the latest
+// accepted one at some moment during the call. It returns ErrUnavailable or
+// ErrUnknown where that can't be determined, and never an older file.
 func (r *Register) ConfirmBody(ctx context.Context) ([]byte, Accepted, error) {
 	confirmed, err := r.Confirm(ctx)
 	if err != nil {
 		return nil, Accepted{}, errors.Trace(err)
 	}
 	for {
-		body, held := r.Body()
-		if held.Number >= confirmed.Number {
-			return body, held, nil
+		body, current := r.Body()
+		if current.Number >= confirmed.Number {
+			return body, current, nil
 		}
-		// The news are on their way here.
-		if !sleep(ctx, confirmPause) {
+		// The confirmed file has not reached this entry yet.
+		if !sleep(ctx, installPollInterval) {
 			return nil, Accepted{}, errors.Trace(ErrUnavailable)
 		}
 	}
 }
 
-// confirmPause is the wait between two looks for a file that is on its way.
-const confirmPause = 10 * time.Millisecond
+// installPollInterval is how often an entry checks whether an accepted change has
+// taken effect here.
+const installPollInterval = 10 * time.Millisecond
 
 // VoterEntries returns the names of the voters.
 func (s *State) VoterEntries() []job.EntryID {
--- a/internal/register/traffic_test.go
+++ b/internal/register/traffic_test.go
@@ -16,14 +16,14 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 )
 
-// countingMesh counts what one entry sends.
+// countingMesh counts the messages and bytes that one entry sends.
 type countingMesh struct {
 	peer.Mesh
 	messages, bytes *atomic.Int64
 }
 
-// frameBytes is about what the link adds to a message: kind, call number, clock
-// reading and the WebSocket and TCP headers.
+// frameBytes approximates the overhead of a message on the link: kind, call number,
+// clock reading and the WebSocket and TCP headers.
 const frameBytes = 90
 
 func (m countingMesh) count(v any) {
@@ -52,8 +52,8 @@
 	})
 }
 
-// largeFile is as an operator of 63 teams and 30 services writes it.
-func largeFile(number int) string {
+// largeConfig returns a configuration with 63 teams and 30 services.
+func largeConfig(number int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "number: %d\nteams:\n", number)
 	for i := range 63 {
@@ -66,14 +66,14 @@
 	return b.String()
 }
 
-// The links between the zones are shared and small. An agreement that talked all
-// the time would take from the 6 KB a second that a daemon may spend on control.
+// The links between the zones are shared and have little bandwidth. Continuous consensus
+// messages would consume part of the 6 KB/s that a daemon may spend on control traffic.
 func TestTrafficStaysSmall(t *testing.T) {
 	cases := []struct {
 		name             string
 		voters, learners int
 		every            time.Duration
-		most             float64 // bytes a second by the entry that sends most
+		most             float64 // bytes/s sent by the entry that sends most
 	}{
 		{"7 entries at rest", 3, 4, 0, 800},
 		{"7 entries at 2,900 changes a day", 3, 4, 24 * time.Hour / 2900, 1000},
@@ -101,7 +101,7 @@
 			const span = 10 * time.Minute
 			for start, number := time.Now(), 1; c.every > 0 && time.Since(start) < span; time.Sleep(c.every) {
 				number++
-				_, err := f.apply(f.entries[number%len(f.entries)], fmt.Sprint(number), largeFile(number))
+				_, err := f.apply(f.entries[number%len(f.entries)], fmt.Sprint(number), largeConfig(number))
 				qt.Assert(t, err, qt.IsNil)
 			}
 			if c.every == 0 {
@@ -112,7 +112,7 @@
 				mostBytes = max(mostBytes, float64(n.bytes.Load())/span.Seconds())
 				mostMessages = max(mostMessages, float64(n.messages.Load())/span.Seconds())
 			}
-			t.Logf("%s, file of %d bytes: at most %.0f bytes and %.2f messages a second sent by one entry", c.name, len(largeFile(1)), mostBytes, mostMessages)
+			t.Logf("%s, file of %d bytes: at most %.0f bytes and %.2f messages a second sent by one entry", c.name, len(largeConfig(1)), mostBytes, mostMessages)
 			qt.Assert(t, mostBytes < c.most, qt.IsTrue)
 		})
 	}
--- a/internal/register/wire.go
+++ b/internal/register/wire.go
@@ -12,7 +12,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/storage"
 )
 
-// snapshot is what an entry needs of a value to serve by it and to pass it on.
+// snapshot is the part of a value that an entry needs to serve with it and to send
+// it to other entries.
 type snapshot struct {
 	Version uint64            `cbor:"1,keyasint"`
 	Lineage uint64            `cbor:"2,keyasint"`
@@ -27,8 +28,8 @@
 	since time.Time
 }
 
-// read unpacks and parses the file.
-func (s *snapshot) read(parse func(string, []byte) (*config.File, error)) error {
+// decode unpacks the file, verifies its digest and parses it.
+func (s *snapshot) decode(parse func(string, []byte) (*config.File, error)) error {
 	body, err := unpack(s.Body)
 	if err != nil {
 		return errors.Trace(err)
@@ -56,26 +57,26 @@
 	return fmt.Sprintf("number %d, digest %s, change %s", s.Change.Number, s.Change.Digest, s.Change.ID)
 }
 
-// pull asks for what is newer than Version. As a message without answer it tells
-// that the sender holds Version.
-type pull struct {
+// pullRequest requests a snapshot newer than Version. Sent with Hint set, it needs no
+// answer and announces that the sender holds Version.
+type pullRequest struct {
 	Version uint64 `cbor:"1,keyasint"`
 	Hint    bool   `cbor:"2,keyasint,omitempty"`
-	// Disk names the sender's disk; empty without one. An emptied voter is known by
-	// it as soon as it asks for anything.
+	// Disk is the identity of the sender's disk; empty without one. It reveals a voter
+	// that lost its disk as soon as that voter sends any request.
 	Disk consensus.Identity `cbor:"3,keyasint,omitempty"`
 }
 
-// pulled is its answer.
-type pulled struct {
-	// Self names the answering disk; zero without one.
+// pullResponse is the answer to a pullRequest.
+type pullResponse struct {
+	// Self identifies the disk of the answering entry; zero without one.
 	Self consensus.Voter `cbor:"1,keyasint"`
-	// Newer is nil if the asking entry has all.
+	// Newer is nil if the requesting entry is up to date.
 	Newer *snapshot `cbor:"2,keyasint,omitempty"`
 }
 
-// order is a command that an entry hands to a voter.
-type order struct {
+// commandRequest is a command that an entry submits to a voter.
+type commandRequest struct {
 	Command consensus.Command `cbor:"1,keyasint"`
 	// WaitMillis is how long the voter may take.
 	WaitMillis int64 `cbor:"2,keyasint"`
