--- a/internal/entry/announced.go
+++ b/internal/entry/announced.go
@@ -14,67 +14,68 @@
 	"github.com/vanillagrade/vanillagrade/internal/target"
 )
 
-// Load pattern: among the announcements of hundreds of targets come some from
-// another writer, from a life that has ended and whose words were held up by a cut,
-// or with a name, an address or a pool that belongs to another target. Taken at
-// their word they would take a target from those that use it, stop what runs there
-// and refuse its true announcements for a minute; each looks like any other. So
-// what a target says must be whole and about a pool that there is, and where it
-// contradicts what is held, the target itself is asked which life of it listens.
+// Load pattern: hundreds of targets announce themselves. Some announcements are
+// wrong: another program wrote them, or a partition delayed them until after their
+// incarnation had ended, or their name, address or pool belongs to another target.
+// A wrong announcement looks like any other. Accepting it would take a target from
+// its users, stop the tasks that run there and refuse the target's real
+// announcements for a minute. So an announcement must be complete and name an
+// existing pool. If it contradicts the registry, the entry asks the announced
+// address which incarnation listens there.
 
-// askTime bounds the question which life of a target listens: a round trip of 3 ms,
-// and the tenth of a second for which a small VM's share may be used up, twice.
-const askTime = 250 * time.Millisecond
+// probeTimeout bounds the query which incarnation of a target listens: a round trip
+// of 3 ms, plus twice the 100 ms for which a small VM may have used up its CPU share.
+const probeTimeout = 250 * time.Millisecond
 
-// check reports what is wrong with an announcement by itself, and counts it.
-func (t *targets) check(announced *job.Target) error {
+// validate checks an announcement by itself and counts it if it is malformed.
+func (t *targets) validate(announced *job.Target) error {
 	err := target.Check(*announced, announced.Zone)
 	if err == nil {
 		err = t.checkPool(announced)
 	}
-	return t.counted(err)
+	return t.countMalformed(err)
 }
 
-// counted counts what is wrong.
-func (t *targets) counted(err error) error {
+// countMalformed counts err as a malformed announcement unless it is nil, and returns it.
+func (t *targets) countMalformed(err error) error {
 	if err != nil {
 		t.malformed.Note(time.Now(), malformed.Announcement, err)
 	}
 	return err
 }
 
-// checkPool refuses targets of a pool that the configuration does not name. One that
-// is known stays until it leaves: a file may drop its pool while it works.
+// checkPool refuses targets of a pool that the configuration does not name. A known
+// target stays until it withdraws: a new configuration may drop its pool while it runs tasks.
 func (t *targets) checkPool(announced *job.Target) error {
 	file := t.config.Current()
-	if file == nil || file.Pools == nil || slices.Contains(file.Pools, announced.Pool) || t.known(announced) {
+	if file == nil || file.Pools == nil || slices.Contains(file.Pools, announced.Pool) || t.isKnown(announced) {
 		return nil
 	}
-	return errors.NotValidf("service %q: configuration %d has none of that name, and it", announced.Pool, file.Number)
+	return errors.NotValidf("service %q: not in configuration %d: target", announced.Pool, file.Number)
 }
 
-// known reports whether this very target is held here or was announced through this
+// isKnown reports whether the same target is held here or was announced through this
 // entry.
-func (t *targets) known(announced *job.Target) bool {
-	if held, ok := t.registry.Get(announced.ID); ok && same(&held, announced) {
+func (t *targets) isKnown(announced *job.Target) bool {
+	if held, ok := t.registry.Get(announced.ID); ok && sameTarget(&held, announced) {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	passed, ok := t.passed[announced.ID]
-	return ok && same(&passed.target, announced)
+	last, ok := t.announcements[announced.ID]
+	return ok && sameTarget(&last.target, announced)
 }
 
-// same reports whether two announcements are of one target: its name, its address
-// and its pool stay for its life.
-func same(a, b *job.Target) bool {
+// sameTarget reports whether two announcements are of the same target. The name, address
+// and pool of a target never change.
+func sameTarget(a, b *job.Target) bool {
 	return a.ID == b.ID && a.Address == b.Address && a.Pool == b.Pool
 }
 
-// admit decides on an announcement that contradicts what is held here: another
-// address under a held name, or another name at a held address. Whoever answers at
-// the address as the life that was announced is the target.
-func (t *targets) admit(announced *job.Target) error {
+// resolveConflict decides on an announcement that contradicts the registry: a held name
+// with another address, or a held address with another name. The announcement is accepted
+// if the announced incarnation answers at the address.
+func (t *targets) resolveConflict(announced *job.Target) error {
 	held, ok := t.registry.Get(announced.ID)
 	if ok && held.Pool != announced.Pool {
 		return errors.AlreadyExistsf("target %s of service %s", held.ID, held.Pool)
@@ -84,44 +85,44 @@
 	if !displaced && !moved {
 		return nil
 	}
-	if !t.listens(*announced) {
+	if !t.isListening(*announced) {
 		return errors.AlreadyExistsf("%s does not answer as target %s, and target %s", announced.Address, announced.ID, cmp.Or(former, held.ID))
 	}
 	if displaced {
-		// The target crashed and came back at its address under a new name.
-		t.log.Info("target displaced by a later life at its address", "target", former, "later", announced.ID, "address", announced.Address)
-		t.drop(former)
+		// The target crashed and restarted at its address under a new name.
+		t.log.Info("target replaced by a later incarnation at its address", "target", former, "later", announced.ID, "address", announced.Address)
+		t.removeEnded(former)
 	}
 	return nil
 }
 
-// asking returns the question which life of a target listens at its address.
-func asking(orders func(job.Target) runs.Orders) func(job.Target) bool {
+// newListenCheck returns a function that reports whether an incarnation of a target listens at its address.
+func newListenCheck(orders func(job.Target) runs.Orders) func(job.Target) bool {
 	return func(t job.Target) bool {
-		ctx, cancel := context.WithTimeout(context.Background(), askTime)
+		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
-		way := orders(t)
-		defer way.Close()
-		// A look without an epoch and without a lease changes nothing there.
-		look, err := way.Renew(ctx, runs.RenewOrder{})
-		// Each target says its clock; another program that answers may not.
-		return err == nil && look.Clock != 0 && (look.Refusal == runs.Accepted || look.Refusal == runs.Fenced)
+		client := orders(t)
+		defer client.Close()
+		// A renewal without an epoch and without a lease changes nothing at the target.
+		reply, err := client.Renew(ctx, runs.RenewOrder{})
+		// Each target reports its clock; another program that answers may not.
+		return err == nil && reply.Clock != 0 && (reply.Refusal == runs.Accepted || reply.Refusal == runs.Fenced)
 	}
 }
 
-// leave stops new work on a target that says that it leaves, unless another one is
-// held under its name.
-func (t *targets) leave(leaving *job.Target) error {
-	if held, ok := t.registry.Get(leaving.ID); ok && !same(&held, leaving) {
+// removeStopping stops new work on a target that has announced its planned stop, unless
+// another target is held under its name.
+func (t *targets) removeStopping(leaving *job.Target) error {
+	if held, ok := t.registry.Get(leaving.ID); ok && !sameTarget(&held, leaving) {
 		return errors.AlreadyExistsf("target %s of service %s at %s", held.ID, held.Pool, held.Address)
 	}
 	t.inventory.drop(leaving.ID)
 	t.mu.Lock()
-	if passed, ok := t.passed[leaving.ID]; ok && same(&passed.target, leaving) {
-		delete(t.passed, leaving.ID)
+	if last, ok := t.announcements[leaving.ID]; ok && sameTarget(&last.target, leaving) {
+		delete(t.announcements, leaving.ID)
 	}
-	delete(t.leaving, leaving.ID)
+	delete(t.transfers, leaving.ID)
 	t.mu.Unlock()
-	t.withdraw(leaving.ID, leaving.Address, t.holder.LeaveTarget)
+	t.remove(leaving.ID, leaving.Address, t.holder.LeaveTarget)
 	return nil
 }
--- a/internal/entry/announced_test.go
+++ b/internal/entry/announced_test.go
@@ -27,27 +27,27 @@
 
 // holding returns the targets of an entry that is alone, with t1 and t2 held. Which
 // life listens at which address stands in listening.
-func holding(t *testing.T, listening map[string]job.TargetID) *targets {
+func newTestTargets(t *testing.T, listeners map[string]job.TargetID) *targets {
 	mesh := (&peertest.Network{}).Join(job.Owner{Entry: "a", Incarnation: 1, Zone: "z"})
 	file := config.Fixed{File: &config.File{Number: 7, Pools: []string{"p", "q"}}}
-	h := holder.New(holder.Options{Config: file, Connect: func(job.Target) holder.Connection { return busy{} }})
+	h := holder.New(holder.Options{Config: file, Connect: func(job.Target) holder.Connection { return busyConn{} }})
 	t.Cleanup(h.Close)
 	ts := &targets{
 		self: mesh.Self(), mesh: mesh, exclusive: true, events: timeline.Discard{}, log: slog.New(slog.DiscardHandler),
 		config: file, registry: target.NewRegistry("z", file), holder: h, malformed: malformed.New(slog.New(slog.DiscardHandler)),
-		members: membership.New(membership.Options{Mesh: mesh, Peers: []membership.Peer{{Entry: "a", Zone: "z"}}}),
-		passed:  map[job.TargetID]passedOn{}, leaving: map[job.TargetID]job.EntryID{},
-		listens: func(at job.Target) bool { return listening[at.Address] == at.ID },
+		members:       membership.New(membership.Options{Mesh: mesh, Peers: []membership.Peer{{Entry: "a", Zone: "z"}}}),
+		announcements: map[job.TargetID]announcement{}, transfers: map[job.TargetID]job.EntryID{},
+		isListening: func(at job.Target) bool { return listeners[at.Address] == at.ID },
 	}
-	ts.forward = handover.NewTargets(mesh, func(at *job.Target) job.EntryID { return "a" }, heldHere{ts})
-	for _, sound := range []job.Target{said("t1", "p", "10.0.0.1:80"), said("t2", "p", "10.0.0.2:80")} {
-		_, _, err := ts.announce(t.Context(), sound)
+	ts.forward = handover.NewTargets(mesh, func(at *job.Target) job.EntryID { return "a" }, localTargets{ts})
+	for _, valid := range []job.Target{testTarget("t1", "p", "10.0.0.1:80"), testTarget("t2", "p", "10.0.0.2:80")} {
+		_, _, err := ts.announce(t.Context(), valid)
 		qt.Assert(t, err, qt.IsNil)
 	}
 	return ts
 }
 
-func said(id job.TargetID, pool, address string) job.Target {
+func testTarget(id job.TargetID, pool, address string) job.Target {
 	return job.Target{ID: id, Pool: pool, Address: address, Zone: "z", Slots: 8, MilliProcessors: 32000, MemoryMB: 64}
 }
 
@@ -82,9 +82,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ts := holding(t, map[string]job.TargetID{"10.0.0.1:80": "t1", "10.0.0.2:80": "t2"})
+			ts := newTestTargets(t, map[string]job.TargetID{"10.0.0.1:80": "t1", "10.0.0.2:80": "t2"})
 			before := ts.registry.Held()
-			wrong := said("t1", "p", "10.0.0.1:80")
+			wrong := testTarget("t1", "p", "10.0.0.1:80")
 			c.spoil(&wrong)
 			_, _, err := ts.announce(t.Context(), wrong)
 			qt.Check(t, err, qt.IsNotNil)
@@ -97,8 +97,8 @@
 			qt.Check(t, ts.registry.Held(), qt.DeepEquals, before)
 			qt.Check(t, ts.holder.Load("p").Targets, qt.Equals, 2)
 			qt.Check(t, ts.holder.Load("q").Targets, qt.Equals, 0)
-			for _, sound := range before {
-				_, _, err := ts.announce(t.Context(), sound)
+			for _, valid := range before {
+				_, _, err := ts.announce(t.Context(), valid)
 				qt.Check(t, err, qt.IsNil)
 			}
 		})
@@ -110,118 +110,118 @@
 // displace the life that works, whose own announcements are then refused for a minute.
 func TestOvertakenAnnouncementDoesNotDisplaceALaterLife(t *testing.T) {
 	listening := map[string]job.TargetID{"10.0.0.1:80": "t1", "10.0.0.2:80": "t2"}
-	ts := holding(t, listening)
-	_, _, err := ts.announce(t.Context(), said("former", "p", "10.0.0.1:80"))
+	ts := newTestTargets(t, listening)
+	_, _, err := ts.announce(t.Context(), testTarget("former", "p", "10.0.0.1:80"))
 	qt.Assert(t, err, qt.ErrorMatches, ".*10.0.0.1:80 does not answer as target former, and target t1 already exists.*")
-	_, _, err = ts.announce(t.Context(), said("t1", "p", "10.0.0.1:80"))
+	_, _, err = ts.announce(t.Context(), testTarget("t1", "p", "10.0.0.1:80"))
 	qt.Assert(t, err, qt.IsNil)
 	// The next life does answer there, and is held at once.
 	listening["10.0.0.1:80"] = "later"
-	_, _, err = ts.announce(t.Context(), said("later", "p", "10.0.0.1:80"))
+	_, _, err = ts.announce(t.Context(), testTarget("later", "p", "10.0.0.1:80"))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, ts.registry.Holds("t1"), qt.IsFalse)
-	_, _, err = ts.announce(t.Context(), said("t1", "p", "10.0.0.1:80"))
+	_, _, err = ts.announce(t.Context(), testTarget("t1", "p", "10.0.0.1:80"))
 	qt.Assert(t, errors.Is(err, target.ErrWithdrawn), qt.IsTrue)
 }
 
 // A pool is dropped from the configuration while its targets work and then leave.
 // They are renewed, and hear that their leaving is known; new ones are refused.
 func TestTargetsOfADroppedPool(t *testing.T) {
-	ts := holding(t, nil)
+	ts := newTestTargets(t, nil)
 	ts.config = config.Fixed{File: &config.File{Number: 8, Pools: []string{"q"}}}
-	_, _, err := ts.announce(t.Context(), said("t1", "p", "10.0.0.1:80"))
+	_, _, err := ts.announce(t.Context(), testTarget("t1", "p", "10.0.0.1:80"))
 	qt.Assert(t, err, qt.IsNil)
-	_, _, err = ts.announce(t.Context(), said("t3", "p", "10.0.0.3:80"))
-	qt.Assert(t, err, qt.ErrorMatches, `.*service "p": configuration 8 has none of that name.*`)
-	leaving := said("t1", "p", "10.0.0.1:80")
+	_, _, err = ts.announce(t.Context(), testTarget("t3", "p", "10.0.0.3:80"))
+	qt.Assert(t, err, qt.ErrorMatches, `.*service "p": not in configuration 8: target not valid.*`)
+	leaving := testTarget("t1", "p", "10.0.0.1:80")
 	qt.Assert(t, ts.Leaving(t.Context(), &leaving), qt.IsNil)
 	qt.Assert(t, ts.registry.Holds("t1"), qt.IsFalse)
 	// Before the first configuration nobody knows which pools there are.
 	ts.config = config.Fixed{}
-	_, _, err = ts.announce(t.Context(), said("t3", "p", "10.0.0.3:80"))
+	_, _, err = ts.announce(t.Context(), testTarget("t3", "p", "10.0.0.3:80"))
 	qt.Assert(t, err, qt.IsNil)
 }
 
 // A target leaves, and another entry that holds one of that name elsewhere hears of
 // it. Only the one that is meant may lose its work.
 func TestLeavingIsForOneTargetOnly(t *testing.T) {
-	ts := holding(t, nil)
-	tell := func(what any) error {
+	ts := newTestTargets(t, nil)
+	withdraw := func(what any) error {
 		body, err := cbor.Marshal(what)
 		qt.Assert(t, err, qt.IsNil)
 		_, err = ts.handleWithdraw(t.Context(), job.Owner{}, body)
 		return err
 	}
-	qt.Assert(t, tell(said("t1", "p", "10.0.0.9:80")), qt.IsNotNil)
-	qt.Assert(t, tell(said("t1", "q", "10.0.0.1:80")), qt.IsNotNil)
+	qt.Assert(t, withdraw(testTarget("t1", "p", "10.0.0.9:80")), qt.IsNotNil)
+	qt.Assert(t, withdraw(testTarget("t1", "q", "10.0.0.1:80")), qt.IsNotNil)
 	qt.Assert(t, ts.registry.Holds("t1"), qt.IsTrue)
 	// One that is not held yet may still come, from where it really is.
-	qt.Assert(t, tell(said("t5", "p", "10.0.0.9:80")), qt.IsNil)
-	_, _, err := ts.announce(t.Context(), said("t5", "p", "10.0.0.5:80"))
+	qt.Assert(t, withdraw(testTarget("t5", "p", "10.0.0.9:80")), qt.IsNil)
+	_, _, err := ts.announce(t.Context(), testTarget("t5", "p", "10.0.0.5:80"))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, tell(said("t1", "p", "10.0.0.1:80")), qt.IsNil)
+	qt.Assert(t, withdraw(testTarget("t1", "p", "10.0.0.1:80")), qt.IsNil)
 	qt.Assert(t, ts.registry.Holds("t1"), qt.IsFalse)
-	qt.Assert(t, tell(job.TargetID("t2")), qt.IsNil)
+	qt.Assert(t, withdraw(job.TargetID("t2")), qt.IsNil)
 	qt.Assert(t, ts.registry.Holds("t2"), qt.IsFalse)
-	qt.Assert(t, tell(7), qt.IsNotNil)
+	qt.Assert(t, withdraw(7), qt.IsNotNil)
 }
 
 // Someone takes names that nobody has out of service, ten thousands of them. The
 // memory must not grow with them, and what is held stays.
 func TestWithdrawalOfUnknownNames(t *testing.T) {
-	ts := holding(t, nil)
+	ts := newTestTargets(t, nil)
 	qt.Assert(t, errors.Is(ts.Withdraw(t.Context(), ""), errors.NotValid), qt.IsTrue)
 	qt.Assert(t, errors.Is(ts.Withdraw(t.Context(), "a\nb"), errors.NotValid), qt.IsTrue)
 	qt.Assert(t, ts.malformed.Total(malformed.Announcement), qt.Equals, uint64(2))
 	for i := range 40_000 {
-		ts.drop(job.TargetID("x" + strconv.Itoa(i)))
+		ts.removeEnded(job.TargetID("x" + strconv.Itoa(i)))
 	}
 	qt.Assert(t, ts.registry.Held(), qt.HasLen, 2)
 	qt.Assert(t, ts.registry.Buried() <= 20_000, qt.IsTrue)
-	ts.drop("t1")
-	_, _, err := ts.announce(t.Context(), said("t1", "p", "10.0.0.1:80"))
+	ts.removeEnded("t1")
+	_, _, err := ts.announce(t.Context(), testTarget("t1", "p", "10.0.0.1:80"))
 	qt.Assert(t, errors.Is(err, target.ErrWithdrawn), qt.IsTrue)
 }
 
 // answering is a target's side of a look.
-type answering struct {
+type fakeOrders struct {
 	look runs.Look
 	err  error
 }
 
-func (a answering) Start(context.Context, runs.StartOrder) (runs.Reply, error) {
+func (a fakeOrders) Start(context.Context, runs.StartOrder) (runs.Reply, error) {
 	return runs.Reply{}, nil
 }
 
-func (a answering) Stop(context.Context, runs.StopOrder) (runs.Reply, error) {
+func (a fakeOrders) Stop(context.Context, runs.StopOrder) (runs.Reply, error) {
 	return runs.Reply{}, nil
 }
 
-func (a answering) Renew(_ context.Context, o runs.RenewOrder) (runs.Look, error) {
+func (a fakeOrders) Renew(_ context.Context, o runs.RenewOrder) (runs.Look, error) {
 	if o != (runs.RenewOrder{}) {
 		return runs.Look{}, errors.New("the question must change nothing at the target")
 	}
 	return a.look, a.err
 }
 
-func (a answering) Close() {}
+func (a fakeOrders) Close() {}
 
 // Who listens is only known from a clear answer.
 func TestAskingWhoListens(t *testing.T) {
 	for _, c := range []struct {
-		answer answering
+		answer fakeOrders
 		want   bool
 	}{
-		{answering{look: runs.Look{Reply: runs.Reply{Refusal: runs.Accepted, Clock: 1}}}, true},
-		{answering{look: runs.Look{Reply: runs.Reply{Refusal: runs.Fenced, Clock: 1}}}, true},
-		{answering{look: runs.Look{Reply: runs.Reply{Refusal: runs.Accepted}}}, false},
-		{answering{look: runs.Look{Reply: runs.Reply{Refusal: runs.Fenced}}}, false},
-		{answering{look: runs.Look{Reply: runs.Reply{Refusal: runs.Elsewhere}}}, false},
-		{answering{look: runs.Look{Reply: runs.Reply{Refusal: runs.Unwell}}}, false},
-		{answering{err: peer.ErrNoAnswer}, false},
+		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Accepted, Clock: 1}}}, true},
+		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Fenced, Clock: 1}}}, true},
+		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Accepted}}}, false},
+		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Fenced}}}, false},
+		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Elsewhere}}}, false},
+		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Unwell}}}, false},
+		{fakeOrders{err: peer.ErrNoAnswer}, false},
 	} {
-		listens := asking(func(job.Target) runs.Orders { return c.answer })
-		qt.Check(t, listens(said("t1", "p", "10.0.0.1:80")), qt.Equals, c.want, qt.Commentf("%+v", c.answer))
+		listens := newListenCheck(func(job.Target) runs.Orders { return c.answer })
+		qt.Check(t, listens(testTarget("t1", "p", "10.0.0.1:80")), qt.Equals, c.want, qt.Commentf("%+v", c.answer))
 	}
-	qt.Assert(t, askTime < time.Second, qt.IsTrue)
+	qt.Assert(t, probeTimeout < time.Second, qt.IsTrue)
 }
--- a/internal/entry/assign.go
+++ b/internal/entry/assign.go
@@ -12,45 +12,45 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// settledAfter is how long a new life waits at the most before it takes targets
-// that came to it by its place in the order: until it has heard the others of its
-// zone it does not know who holds them.
-const settledAfter = time.Second
+// holderDiscoveryTime is how long a new incarnation waits at most before it accepts
+// targets that its rank assigns to it: until it has received heartbeats from the other
+// entries of its zone, it does not know which of them hold targets.
+const holderDiscoveryTime = time.Second
 
-// holderOf returns the entry that holds a target or is to hold it; empty while
-// nobody can.
+// holderOf returns the entry that holds a target or should hold it; empty while
+// no entry can.
 func (t *targets) holderOf(announced *job.Target) job.EntryID {
-	if announced.Zone == t.self.Zone && (t.registry.Holds(announced.ID) || t.inventory.isRecalling(announced.ID)) {
+	if announced.Zone == t.self.Zone && (t.registry.Holds(announced.ID) || t.inventory.isReclaimPending(announced.ID)) {
 		return t.self.Entry
 	}
-	kept, found := t.inventory.holderOf(announced.ID)
-	if kept != "" || !found && time.Since(t.started) < settledAfter {
-		// A holder that is about to be found takes its targets again by itself. Given to
-		// another entry meanwhile, they would change hands twice.
-		return kept
+	recorded, found := t.inventory.holderOf(announced.ID)
+	if recorded != "" || !found && time.Since(t.started) < holderDiscoveryTime {
+		// A holder that is about to be discovered reclaims its targets by itself. Assigned
+		// to another entry in the meantime, they would change holders twice.
+		return recorded
 	}
 	if last := t.lastHolder(announced.ID); last != "" {
 		return last
 	}
-	if who := t.whoKnows(announced); who != "" {
-		return who
+	if keeper := t.keeperToAsk(announced); keeper != "" {
+		return keeper
 	}
-	taking := assign.Taking(t.zoneHolders(announced.Zone, announced.Pool))
-	if len(taking) == 0 {
+	candidates := assign.Taking(t.zoneHolders(announced.Zone, announced.Pool))
+	if len(candidates) == 0 {
 		return ""
 	}
-	names := make([]job.EntryID, len(taking))
-	for i, h := range taking {
+	names := make([]job.EntryID, len(candidates))
+	for i, h := range candidates {
 		names[i] = h.Entry
 	}
 	return membership.Rank(names, string(announced.ID))[0]
 }
 
-// lastHolder returns the entry that took a target's last announcement from this
-// one, while it serves: a target stays with its holder.
+// lastHolder returns the entry to which this one last forwarded a target's announcement,
+// while that entry serves: a target stays with its holder.
 func (t *targets) lastHolder(id job.TargetID) job.EntryID {
 	t.mu.Lock()
-	last := t.passed[id].holder
+	last := t.announcements[id].holder
 	t.mu.Unlock()
 	if last == "" || last == t.self.Entry {
 		return ""
@@ -62,13 +62,13 @@
 	return last
 }
 
-// whoKnows returns an entry that remembers who holds a target where this one doesn't know;
-// empty where it does, or is to choose.
+// keeperToAsk returns an entry that remembers the holder of a target, if this entry does
+// not know the holder. It returns an empty name if this entry knows it or may choose one.
 //
-// It doesn't know in the first moments of its life, and of a target that another entry has
-// taken from it. Were it to choose a holder anew, its choice and the entry that has the
-// target would take it from each other, and stop what runs there.
-func (t *targets) whoKnows(announced *job.Target) job.EntryID {
+// This entry doesn't know the holder just after its start, or if another entry has taken
+// the target from it. If it then chose a new holder, that one and the current holder would
+// take the target from each other and stop the tasks that run there.
+func (t *targets) keeperToAsk(announced *job.Target) job.EntryID {
 	if t.inventory == nil || t.inventory.store != nil || announced.Zone != t.self.Zone {
 		return ""
 	}
@@ -76,8 +76,8 @@
 	at, lost := t.yielded[announced.ID]
 	delete(t.yielded, announced.ID)
 	t.mu.Unlock()
-	lost = lost && time.Since(at) < yieldedFor
-	if !lost && time.Since(t.started) > settledAfter {
+	lost = lost && time.Since(at) < yieldRetention
+	if !lost && time.Since(t.started) > holderDiscoveryTime {
 		return ""
 	}
 	for _, keeper := range t.inventory.keepers() {
@@ -88,10 +88,10 @@
 	return ""
 }
 
-// zoneHolders returns the entries of a zone with what they hold of a pool.
+// zoneHolders returns the entries of a zone with their numbers of targets of a pool.
 func (t *targets) zoneHolders(zone job.Zone, pool string) []assign.Holder {
 	view := t.members.View()
-	held := t.heldTargets(pool)
+	held := t.targetCounts(pool)
 	ranked := view.Ranked(zone, pool)
 	holders := make([]assign.Holder, 0, len(ranked))
 	for _, name := range ranked {
@@ -103,9 +103,9 @@
 	return holders
 }
 
-// heldTargets returns how many targets of a pool each entry holds, with those that this
-// entry has sent since.
-func (t *targets) heldTargets(pool string) map[job.EntryID]int {
+// targetCounts returns how many targets of a pool each entry holds, including those that
+// this entry has sent to it since its last report.
+func (t *targets) targetCounts(pool string) map[job.EntryID]int {
 	now := time.Now()
 	var reported []assign.Reported
 	for _, l := range t.members.AgedLoads() {
@@ -115,14 +115,15 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return assign.Held(now, reported, t.sent[pool])
+	return assign.Held(now, reported, t.recentlySent[pool])
 }
 
-// mayHold reports whether a member may hold targets in this entry's view: this
-// entry only once it has heard who holds what, or takes its targets of before again. An
-// entry that is alone has nobody to hear.
+// mayHold reports whether a member may hold targets in this entry's view. This entry itself
+// may do so once it has received heartbeats from the other entries of its zone, or has begun
+// to reclaim its earlier targets, or holderDiscoveryTime has passed. An entry that knows no
+// others waits half of that time.
 func (t *targets) mayHold(view *membership.Members, m membership.Member) bool {
-	if m.Entry != t.self.Entry || time.Since(t.started) > settledAfter || t.inventory.recalled() {
+	if m.Entry != t.self.Entry || time.Since(t.started) > holderDiscoveryTime || t.inventory.hasReclaimed() {
 		return true
 	}
 	for _, other := range view.List {
@@ -130,13 +131,13 @@
 			return false
 		}
 	}
-	return len(view.List) > 1 || time.Since(t.started) > settledAfter/2
+	return len(view.List) > 1 || time.Since(t.started) > holderDiscoveryTime/2
 }
 
-// rebalance passes targets on that others are to hold, each once it is idle:
-// whoever takes it stops what it finds there.
+// rebalance transfers targets that other entries should hold, each once it is idle:
+// the new holder stops the tasks that it finds there.
 func (t *targets) rebalance() {
-	if t.takesAgain() {
+	if t.isReclaiming() {
 		return
 	}
 	byPool := map[string][]job.Target{}
@@ -145,16 +146,16 @@
 	}
 	for pool, held := range byPool {
 		active := assign.Active(t.zoneHolders(t.self.Zone, pool))
-		t.chooseLeaving(held, assign.Surplus(active, t.self.Entry, len(held)), !isActive(active, t.self.Entry))
+		t.selectTransfers(held, assign.Surplus(active, t.self.Entry, len(held)), !isActive(active, t.self.Entry))
 	}
-	t.passOnIdle(func(released job.Target, to job.EntryID) { go t.passOn(released, to) })
+	t.transferIdle(func(released job.Target, to job.EntryID) { go t.transfer(released, to) })
 }
 
-// takesAgain reports whether this entry has just begun and took targets of its last life
-// again. The other holders do so too, some later than others: evened out by what they hold
-// so far, targets would go to and fro.
-func (t *targets) takesAgain() bool {
-	if !t.inventory.recalled() || time.Since(t.started) > settleTime {
+// isReclaiming reports whether this entry has just started and has reclaimed targets of its
+// previous incarnation. Other holders may still be reclaiming theirs: rebalancing by their
+// current numbers of targets would move targets back and forth.
+func (t *targets) isReclaiming() bool {
+	if !t.inventory.hasReclaimed() || time.Since(t.started) > warmupTime {
 		return false
 	}
 	view := t.members.View()
@@ -165,10 +166,10 @@
 	return slices.ContainsFunc(active, func(h assign.Holder) bool { return h.Entry == self })
 }
 
-// chooseLeaving marks which targets go where. A holder that goes on serving gives
-// away idle targets only; one that ends gives away all, and starts nothing more
-// on them.
-func (t *targets) chooseLeaving(held []job.Target, moves []assign.Move, all bool) {
+// selectTransfers chooses targets to transfer and their new holders. A holder that
+// continues to serve transfers idle targets only. One that stops transfers all targets and
+// starts no more tasks on them.
+func (t *targets) selectTransfers(held []job.Target, moves []assign.Move, all bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, move := range moves {
@@ -178,13 +179,13 @@
 			if n == 0 {
 				break
 			}
-			if _, chosen := t.leaving[id]; chosen {
+			if _, chosen := t.transfers[id]; chosen {
 				continue
 			}
 			if !all && t.exclusive && t.holder.Running(id) > 0 {
 				continue
 			}
-			t.leaving[id] = move.To
+			t.transfers[id] = move.To
 			if t.exclusive {
 				t.holder.RemoveTarget(id)
 			}
@@ -193,53 +194,54 @@
 	}
 }
 
-// passOnIdle passes on the leaving targets on which nothing runs any more.
-func (t *targets) passOnIdle(passOn func(job.Target, job.EntryID)) {
+// transferIdle transfers those of the selected targets on which no task runs any more.
+func (t *targets) transferIdle(passOn func(job.Target, job.EntryID)) {
 	t.mu.Lock()
 	ready := map[job.TargetID]job.EntryID{}
-	for id, to := range t.leaving {
+	for id, to := range t.transfers {
 		if !t.exclusive || t.holder.Running(id) == 0 {
 			ready[id] = to
-			delete(t.leaving, id)
+			delete(t.transfers, id)
 		}
 	}
 	t.mu.Unlock()
 	if len(ready) == 0 {
 		return
 	}
-	t.changing.Lock()
-	defer t.changing.Unlock()
+	t.changeMu.Lock()
+	defer t.changeMu.Unlock()
 	released := t.registry.Release(func(held *job.Target) bool { return ready[held.ID] == "" })
 	for i := range released {
-		// What runs there is told to the next holder: a target's own count is a
-		// renewal old.
+		// The next holder receives the number of running tasks from here: the target's
+		// own count dates from its last renewal.
 		released[i].Running = t.holder.RemoveTarget(released[i].ID)
 		to := ready[released[i].ID]
 		t.events.Record(timeline.Event{Kind: timeline.HolderChanged, Target: released[i].ID, Peer: to, Cause: "the holders of the pool changed"})
-		t.log.Info("target passed on", "target", released[i].ID, "to", to)
+		t.log.Info("target transferred", "target", released[i].ID, "to", to)
 		passOn(released[i], to)
 	}
 }
 
-// passOn saves the time until the target's next announcement.
-func (t *targets) passOn(released job.Target, to job.EntryID) {
-	ctx, cancel := context.WithTimeout(context.Background(), passOnTime)
+// transfer sends a released target to its new holder, which otherwise would receive it only
+// with the target's next announcement.
+func (t *targets) transfer(released job.Target, to job.EntryID) {
+	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	if err := t.forward.Release(ctx, released, to); err != nil {
-		t.log.Info("a target was not passed on; its next announcement reaches its holder", "target", released.ID, "error", err)
+		t.log.Info("target not transferred; its new holder receives it with the next announcement", "target", released.ID, "error", err)
 		return
 	}
-	// Its next announcement still comes here.
-	t.remember(released, to, config.DefaultLease)
+	// The target still sends its next announcement to this entry.
+	t.recordAnnouncement(released, to, config.DefaultLease)
 }
 
-// yield gives up a target that another entry has taken.
+// yield releases a target that another entry has taken.
 func (t *targets) yield(id job.TargetID) {
-	t.changing.Lock()
-	defer t.changing.Unlock()
+	t.changeMu.Lock()
+	defer t.changeMu.Unlock()
 	t.mu.Lock()
-	delete(t.leaving, id)
-	delete(t.passed, id)
+	delete(t.transfers, id)
+	delete(t.announcements, id)
 	t.yielded[id] = time.Now()
 	t.mu.Unlock()
 	if len(t.registry.Release(func(held *job.Target) bool { return held.ID != id })) == 0 {
@@ -249,10 +251,10 @@
 	t.events.Record(timeline.Event{Kind: timeline.HolderChanged, Target: id, Cause: "another entry has taken the target"})
 }
 
-// isLeaving reports whether a held target is being passed on.
-func (t *targets) isLeaving(id job.TargetID) bool {
+// isTransferring reports whether a held target is being transferred.
+func (t *targets) isTransferring(id job.TargetID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, leaving := t.leaving[id]
+	_, leaving := t.transfers[id]
 	return leaving
 }
--- a/internal/entry/attach.go
+++ b/internal/entry/attach.go
@@ -16,31 +16,32 @@
 	"github.com/vanillagrade/vanillagrade/internal/register"
 )
 
-// Caller returns the handling of submissions, for servers that speak to callers
-// in other forms.
+// Caller returns the handler of submissions, for servers that offer callers other
+// protocols.
 func (e *Entry) Caller() *api.Caller {
 	return &api.Caller{Dispatcher: e, Config: e.config, Memory: e.memory}
 }
 
-// Refused notes a refusal that another server of this entry gave by itself.
+// Refused records a refusal by another server of this entry.
 func (e *Entry) Refused(a job.Answer) { e.record.Refused(a) }
 
-// Config returns the view of the configuration in force.
+// Config returns the view of the configuration in effect.
 func (e *Entry) Config() config.View { return e.config }
 
-// ConfirmBody returns the file that a majority of the voters knows as the latest.
+// ConfirmBody returns the configuration file that a majority of the voters confirms as the
+// latest.
 func (e *Entry) ConfirmBody(ctx context.Context) ([]byte, register.Accepted, error) {
 	return e.register.ConfirmBody(ctx)
 }
 
-// Announce takes the announcement of a target and returns the host of the entry
-// that holds it, where later ones may go; empty while that is not known.
+// Announce handles the announcement of a target and returns the host of the entry that
+// holds the target, to which it may send later announcements; empty while unknown.
 func (e *Entry) Announce(ctx context.Context, t job.Target) (holderHost string, err error) {
 	_, holder, err := e.targets.announce(ctx, t)
-	if err != nil || e.book == nil {
+	if err != nil || e.discovered == nil {
 		return "", errors.Trace(err)
 	}
-	r, ok := e.book.Get(holder)
+	r, ok := e.discovered.Get(holder)
 	if !ok {
 		return "", nil
 	}
@@ -48,25 +49,25 @@
 	return host, errors.Trace(err)
 }
 
-// Leaving says that a target takes no more work. Without an error each entry that
-// may hold it knows.
+// Leaving announces that a target accepts no more work. It returns nil only if each entry
+// that may hold the target has been notified.
 func (e *Entry) Leaving(ctx context.Context, t job.Target) error {
 	return e.targets.Leaving(ctx, &t)
 }
 
-// Withdraw says that a target has ended.
+// Withdraw announces that a target has ended.
 func (e *Entry) Withdraw(ctx context.Context, id job.TargetID) error {
 	return e.targets.Withdraw(ctx, id)
 }
 
 // Metrics returns the handler of the metrics address; nil unless the entry logs its
-// events. droppedLines counts the log lines that found no reader.
+// events. droppedLines returns the number of log lines dropped for want of a reader.
 func (e *Entry) Metrics(droppedLines func() uint64) http.Handler {
 	if e.metrics == nil {
 		return nil
 	}
 	m := e.metrics
-	m.Gauge("vanillagrade_log_lines_left_out", func() float64 { return float64(e.decisions.LeftOut()) })
+	m.Gauge("vanillagrade_log_lines_left_out", func() float64 { return float64(e.eventLog.LeftOut()) })
 	m.Gauge("vanillagrade_log_lines_dropped", func() float64 { return float64(droppedLines()) })
 	m.Gauge("vanillagrade_submissions_running", func() float64 { return float64(e.join.Running()) })
 	m.Gauge("vanillagrade_configuration_number", func() float64 { return float64(e.Configuration()) })
@@ -76,26 +77,26 @@
 	for _, kind := range malformed.Kinds {
 		m.Gauge(fmt.Sprintf("vanillagrade_malformed_total{kind=%q}", kind), func() float64 { return float64(e.opts.Malformed.Total(kind)) })
 	}
-	m.Gauge("vanillagrade_tasks_suspected", func() float64 { return float64(e.crashes.book.Len()) })
+	m.Gauge("vanillagrade_tasks_suspected", func() float64 { return float64(e.crashes.tracker.Len()) })
 	m.Gauge("vanillagrade_links", func() float64 { return float64(e.links.Standing()) })
 	m.Gauge("vanillagrade_links_opened", func() float64 { return float64(e.links.Opened()) })
 	m.Gauge(`vanillagrade_target_calls{kind="start"}`, func() float64 { return float64(e.calls.Starts.Load()) })
 	m.Gauge(`vanillagrade_target_calls{kind="look"}`, func() float64 { return float64(e.calls.Looks.Load()) })
 	m.Gauge(`vanillagrade_target_calls{kind="stop"}`, func() float64 { return float64(e.calls.Stops.Load()) })
-	m.Gauge("vanillagrade_slots_known", func() float64 { return float64(e.slotsKnown()) })
+	m.Gauge("vanillagrade_slots_known", func() float64 { return float64(e.totalSlots()) })
 	m.Gauge("vanillagrade_agreement_rounds", func() float64 { return float64(e.register.Round()) })
 	m.Gauge("vanillagrade_voters_heard", func() float64 { return float64(e.register.VoterFigures().Heard) })
 	m.Gauge("vanillagrade_voter_losses_left", func() float64 { return float64(e.register.VoterFigures().LossesLeft) })
 	m.Gauge("vanillagrade_spare_disks", func() float64 { return float64(e.register.VoterFigures().Spares) })
 	for _, kind := range peer.Kinds() {
-		for name, read := range messageCounts {
-			m.Gauge(fmt.Sprintf("%s{kind=%q}", name, kind), func() float64 { return float64(read(e.messages(kind))) })
+		for name, read := range messageCounters {
+			m.Gauge(fmt.Sprintf("%s{kind=%q}", name, kind), func() float64 { return float64(read(e.messageStats(kind))) })
 		}
 	}
 	return m.Handler()
 }
 
-func (e *Entry) slotsKnown() int {
+func (e *Entry) totalSlots() int {
 	sum := 0
 	for _, pool := range e.wantedPools() {
 		sum += e.Slots(pool)
@@ -103,16 +104,16 @@
 	return sum
 }
 
-// messageCounts are the figures of what is exchanged with other entries.
-var messageCounts = map[string]func(peer.KindStats) uint64{
+// messageCounters are the metrics of the messages exchanged with other entries.
+var messageCounters = map[string]func(peer.KindStats) uint64{
 	"vanillagrade_peer_bytes_sent":        func(s peer.KindStats) uint64 { return s.BytesOut },
 	"vanillagrade_peer_bytes_received":    func(s peer.KindStats) uint64 { return s.BytesIn },
 	"vanillagrade_peer_messages_sent":     func(s peer.KindStats) uint64 { return s.MessagesOut },
 	"vanillagrade_peer_messages_received": func(s peer.KindStats) uint64 { return s.MessagesIn },
 }
 
-// messages returns the counts of one kind of message.
-func (e *Entry) messages(kind peer.Kind) peer.KindStats {
+// messageStats returns the counts of one kind of message.
+func (e *Entry) messageStats(kind peer.Kind) peer.KindStats {
 	for _, s := range e.links.Stats() {
 		if s.Kind == kind {
 			return s
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -15,61 +15,61 @@
 	"github.com/vanillagrade/vanillagrade/internal/policy/crash"
 )
 
-// tellCrashesAfter is how long the word of a task under which a target ended waits: by then
-// it is mostly known whether many targets ended at once, and a caller that lost its entry has
-// not sent the job again yet, which it does 1.3 s later at the earliest.
-const tellCrashesAfter = 250 * time.Millisecond
+// crashReportDelay is the delay before other entries are notified of a task under which a
+// target ended. By then it is usually known whether many targets ended at once. A caller
+// that lost its entry resends the job after 1.3 s at the earliest, so the report is in time.
+const crashReportDelay = 250 * time.Millisecond
 
-// crashes keeps what is held against tasks under which targets ended, and tells the entries
-// to which the same job may come again: its holder or owner may be lost.
-type crashes struct {
-	book    *crash.Book
+// crashReporter tracks tasks under which targets ended, and notifies the entries that may
+// receive the same job again because its holder or owner may be lost.
+type crashReporter struct {
+	tracker *crash.Book
 	members *membership.Membership
 	mesh    peer.Mesh
 	self    job.Owner
 
-	mu     sync.Mutex
-	untold map[crash.Task]job.Owner
+	mu         sync.Mutex
+	unreported map[crash.Task]job.Owner
 }
 
-// crashed is what is held against one task, in messages.
-type crashed struct {
+// crashReport is the message about one task: the targets that ended under it.
+type crashReport struct {
 	_          struct{} `cbor:",toarray"`
 	Submission job.ID
 	Index      int
 	Targets    []job.TargetID
 }
 
-func newCrashes(e *Entry) *crashes {
-	c := &crashes{book: crash.NewBook(), mesh: e.links, self: e.self, untold: map[crash.Task]job.Owner{}}
+func newCrashReporter(e *Entry) *crashReporter {
+	c := &crashReporter{tracker: crash.NewBook(), mesh: e.links, self: e.self, unreported: map[crash.Task]job.Owner{}}
 	c.mesh.HandleInOrder(peer.TaskCrashed, c.handle)
 	return c
 }
 
-// note has others told of a task under which a target has just ended.
-func (c *crashes) note(owner job.Owner, t crash.Task) {
+// record schedules a report about a task under which a target has just ended.
+func (c *crashReporter) record(owner job.Owner, t crash.Task) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.untold) == 0 {
-		time.AfterFunc(tellCrashesAfter, c.tell)
+	if len(c.unreported) == 0 {
+		time.AfterFunc(crashReportDelay, c.report)
 	}
-	c.untold[t] = owner
+	c.unreported[t] = owner
 }
 
-// tell tells the entries of this zone and of the owners' zones.
-func (c *crashes) tell() {
+// report notifies the entries of this zone and of the owners' zones.
+func (c *crashReporter) report() {
 	c.mu.Lock()
-	untold := c.untold
-	c.untold = map[crash.Task]job.Owner{}
+	pending := c.unreported
+	c.unreported = map[crash.Task]job.Owner{}
 	c.mu.Unlock()
 	zones := []job.Zone{c.self.Zone}
-	var list []crashed
-	for t, owner := range untold {
-		v := c.book.Verdict(t)
+	var list []crashReport
+	for t, owner := range pending {
+		v := c.tracker.Verdict(t)
 		if len(v.Sure) == 0 {
-			continue // it was many at once, or the task has ended well
+			continue // many targets ended at once, or the task has succeeded
 		}
-		list = append(list, crashed{Submission: t.Submission, Index: t.Index, Targets: v.Sure})
+		list = append(list, crashReport{Submission: t.Submission, Index: t.Index, Targets: v.Sure})
 		zones = append(zones, owner.Zone)
 	}
 	if len(list) == 0 || c.members == nil {
@@ -81,22 +81,22 @@
 			continue
 		}
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), withdrawTime)
+			ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 			defer cancel()
-			// Whom this does not reach knows less, and takes one target more at the most.
+			// An entry that misses this report loses at most one more target to the task.
 			_ = c.mesh.Call(ctx, m.Entry, peer.TaskCrashed, list, nil)
 		}()
 	}
 }
 
-func (c *crashes) handle(_ context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
-	var list []crashed
+func (c *crashReporter) handle(_ context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
+	var list []crashReport
 	if err := cbor.Unmarshal(body, &list); err != nil {
 		return nil, errors.Annotate(err, "decoding tasks under which targets ended")
 	}
 	now := time.Now()
 	for _, x := range list {
-		c.book.Learn(now, crash.Task{Submission: x.Submission, Index: x.Index}, x.Targets)
+		c.tracker.Learn(now, crash.Task{Submission: x.Submission, Index: x.Index}, x.Targets)
 	}
 	return true, nil
 }
--- a/internal/entry/discover.go
+++ b/internal/entry/discover.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// linkSilence is how long a link of a fleet that shares work across zones may
-	// bring nothing: four heartbeats. Connections can go silent for good without a
-	// reset while new ones work, and nothing else shows it.
-	linkSilence = time.Second
+	// linkSilenceTimeout is how long a link may deliver nothing in a fleet that shares
+	// work across zones: four heartbeats. A connection can stop delivering permanently
+	// without a reset while new connections work; only this timeout detects it.
+	linkSilenceTimeout = time.Second
 	// forgetAfter is how long an entry must be dead before it is forgotten: a VM
-	// that is restarted is back within seconds, one that is replaced never is.
+	// that is restarted returns within seconds, one that is replaced never does.
 	forgetAfter = 30 * time.Second
-	// forgetEvery is how often the dead are looked through.
-	forgetEvery = 5 * time.Second
+	// forgetInterval is how often dead entries are checked.
+	forgetInterval = 5 * time.Second
 )
 
-// sharedWork watches entries of other zones as closely as those of this one:
-// work that is shared across zones ends with its owner, and an owner may place
-// it anew only once that is certain.
-var sharedWork = membership.Timings{
+// crossZoneTimings monitors entries of other zones as closely as those of this one:
+// work shared across zones ends with its owner, and an owner may place it again only
+// once that is certain.
+var crossZoneTimings = membership.Timings{
 	Period: 250 * time.Millisecond, SuspectAfter: time.Second,
 	DeadAfter: 2500 * time.Millisecond, VouchWithin: 600 * time.Millisecond,
 }
 
-// discover prepares the links of an entry that finds the others by itself.
-func (e *Entry) discover(links *peer.Options) {
+// configureDiscovery sets the link options of an entry that discovers the others by itself.
+func (e *Entry) configureDiscovery(links *peer.Options) {
 	s := &e.opts.Settings
-	e.book = discovery.NewBook(discovery.Record{Owner: e.self, Address: s.PeerAddr, Disk: s.DataDir != "", Carries: assign.Carries(s.Processors, s.LinkMbps)})
-	links.Dynamic, links.Address, links.Silence = true, s.PeerAddr, linkSilence
+	e.discovered = discovery.NewBook(discovery.Record{Owner: e.self, Address: s.PeerAddr, Disk: s.DataDir != "", Carries: assign.Carries(s.Processors, s.LinkMbps)})
+	links.Dynamic, links.Address, links.Silence = true, s.PeerAddr, linkSilenceTimeout
 	links.Join = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { e.joiner.ServeHTTP(w, r) })
 	links.Expects = func(of job.EntryID) (time.Time, time.Duration) { return e.members.Expects(of) }
 	links.OnLink = func(to job.EntryID, up bool) {
@@ -47,28 +47,28 @@
 		}
 	}
 	links.OnMeet = func(p peer.Peer, _ job.Incarnation) {
-		// The exchange says what the handshake doesn't, such as a disk.
+		// The exchange carries what the handshake doesn't, such as whether the entry has a disk.
 		go e.joiner.Meet(p.Address)
 	}
 }
 
-// startDiscovery makes the joiner once the links exist.
+// startDiscovery creates the joiner once the links exist.
 func (e *Entry) startDiscovery() {
 	seeds := e.opts.Seeds
 	if seeds == nil {
 		seeds = func() []string { return e.opts.Settings.Seeds }
 	}
 	e.joiner = discovery.New(discovery.Options{
-		Book: e.book, Mesh: e.links, Seeds: seeds, Secret: e.opts.Settings.PeerSecret, Tell: e.tellOf,
-		OnNews: e.found, OnEnded: e.foundEnded, Log: e.log,
+		Book: e.discovered, Mesh: e.links, Seeds: seeds, Secret: e.opts.Settings.PeerSecret, Tell: e.fillLiveness,
+		OnNews: e.addDiscovered, OnEnded: e.addEnded, Log: e.log,
 		Near:   func() []job.EntryID { return e.members.Near() },
 		Digest: func() uint64 { return e.members.Digest() },
 	})
 }
 
-// found takes found entries into the membership and the links, in this order: in a large
-// fleet the membership says first to which of them links are kept up.
-func (e *Entry) found(records []discovery.Record) {
+// addDiscovered adds discovered entries to the membership and then to the links. The order
+// matters: in a large fleet the membership first decides to which of them links are kept up.
+func (e *Entry) addDiscovered(records []discovery.Record) {
 	peers := make([]membership.Peer, len(records))
 	for i, r := range records {
 		peers[i] = membership.Peer{Entry: r.Owner.Entry, Zone: r.Owner.Zone, Reserve: r.Disk, Carries: r.Carries, Incarnation: r.Owner.Incarnation}
@@ -79,17 +79,17 @@
 	}
 }
 
-// tellOf fills in what this entry says of another one's life.
-func (e *Entry) tellOf(r *discovery.Record) {
-	hears, ended := e.members.Known(r.Owner)
-	r.Heard = hears
+// fillLiveness fills in what this entry knows about another entry's incarnation.
+func (e *Entry) fillLiveness(r *discovery.Record) {
+	heard, ended := e.members.Known(r.Owner)
+	r.Heard = heard
 	if ended != nil {
 		r.Ended, r.Left, r.Revision = true, ended.State == membership.Left, ended.Revision
 	}
 }
 
-// foundEnded takes the word of another entry that lives have ended.
-func (e *Entry) foundEnded(records []discovery.Record) {
+// addEnded applies another entry's report that incarnations have ended.
+func (e *Entry) addEnded(records []discovery.Record) {
 	updates := make([]membership.Update, len(records))
 	for i, r := range records {
 		updates[i] = membership.Update{Entry: r.Owner.Entry, Incarnation: r.Owner.Incarnation, State: membership.Dead, Revision: r.Revision}
@@ -100,21 +100,21 @@
 	e.members.TakeUpdates(updates)
 }
 
-// compareWith compares lists with an entry that knows another fleet.
-func (e *Entry) compareWith(id job.EntryID) {
-	r, ok := e.book.Get(id)
+// exchangeRecords exchanges records with an entry that knows a different set of entries.
+func (e *Entry) exchangeRecords(id job.EntryID) {
+	r, ok := e.discovered.Get(id)
 	if ok && e.joiner != nil {
 		go e.joiner.Meet(r.Address)
 	}
 }
 
-// foundNames returns the names of the found entries.
-func (e *Entry) foundNames() []job.EntryID {
-	if e.book == nil {
+// discoveredNames returns the names of the discovered entries.
+func (e *Entry) discoveredNames() []job.EntryID {
+	if e.discovered == nil {
 		return nil
 	}
 	var names []job.EntryID
-	for _, r := range e.book.All() {
+	for _, r := range e.discovered.All() {
 		if r.Owner.Entry != e.self.Entry {
 			names = append(names, r.Owner.Entry)
 		}
@@ -122,10 +122,10 @@
 	return names
 }
 
-// forgetTheGone forgets entries that have been dead for long, until ctx ends.
-// Otherwise the links to VMs that were replaced would be dialled for ever.
-func (e *Entry) forgetTheGone(ctx context.Context) error {
-	return every(ctx, forgetEvery, func(now time.Time) {
+// forgetDead forgets entries that have been dead for forgetAfter, until ctx ends.
+// Otherwise this entry would dial replaced VMs forever.
+func (e *Entry) forgetDead(ctx context.Context) error {
+	return every(ctx, forgetInterval, func(now time.Time) {
 		view := e.members.View()
 		for _, m := range view.List {
 			ended := m.State == membership.Dead || m.State == membership.Left
@@ -133,23 +133,23 @@
 				continue
 			}
 			e.log.Info("entry forgotten", "peer", m.Entry, "state", m.State.String())
-			e.book.Forget(now, m.Entry)
+			e.discovered.Forget(now, m.Entry)
 			e.links.Remove(m.Entry)
 			e.members.Remove(m.Entry)
-			e.inventory.forget(m.Entry)
+			e.inventory.forgetEntry(m.Entry)
 		}
 	})
 }
 
-// discoverVoters has the register formed by the founders, and mended with the
-// disks that are found.
-func (e *Entry) discoverVoters(o *register.Options) {
-	o.Others = e.foundNames
+// configureVoterDiscovery lets the founders form the register, and the register replace
+// lost voters with discovered entries that have a disk.
+func (e *Entry) configureVoterDiscovery(o *register.Options) {
+	o.Others = e.discoveredNames
 	o.Sparse = func() bool { return e.members.Sparse() }
 	if len(e.opts.Settings.Founders) > 0 {
 		o.Found = e.founders
 	}
-	o.Mend = &register.Mend{Want: e.opts.Settings.WantVoters, Within: e.opts.Settings.RepairWithin, Disks: e.disks}
+	o.Mend = &register.Mend{Want: e.opts.Settings.WantVoters, Within: e.opts.Settings.RepairWithin, Disks: e.diskEntries}
 }
 
 // founders returns the names of the entries at the founders' addresses, once all
@@ -157,7 +157,7 @@
 func (e *Entry) founders() []job.EntryID {
 	var names []job.EntryID
 	for _, address := range e.opts.Settings.Founders {
-		r, ok := e.book.ByAddress(address)
+		r, ok := e.discovered.ByAddress(address)
 		if !ok {
 			return nil
 		}
@@ -166,11 +166,11 @@
 	return names
 }
 
-// disks lists the entries with a data folder as this entry sees them.
-func (e *Entry) disks() []voters.Disk {
+// diskEntries lists the entries with a data folder as this entry sees them.
+func (e *Entry) diskEntries() []voters.Disk {
 	view := e.members.View()
 	var out []voters.Disk
-	for _, r := range e.book.All() {
+	for _, r := range e.discovered.All() {
 		m, known := view.Get(r.Owner.Entry)
 		if !r.Disk || !known {
 			continue
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -19,11 +19,11 @@
 	return e.chain(ctx, &pipeline.Flow{Submission: s})
 }
 
-// settleTime is how long a new life waits for the first heartbeats of holders,
-// which come within a second, before it lets the balancer send callers. Without
-// it each restart would refuse some submissions with no_target. It is bounded,
-// since a fleet that has no target at all must say so itself.
-const settleTime = 2 * time.Second
+// warmupTime is how long a new incarnation waits for the first heartbeats of holders,
+// which arrive within a second, before it lets the balancer send callers. Without it,
+// each restart would refuse some submissions with no_target. The wait is bounded because
+// a fleet without any target must report that itself.
+const warmupTime = 2 * time.Second
 
 // knowsTargets reports whether tasks of any service could be placed.
 func (e *Entry) knowsTargets() bool {
@@ -37,31 +37,31 @@
 
 // Ready implements api.Dispatcher.
 func (e *Entry) Ready() error {
-	if e.leaving.Load() {
+	if e.draining.Load() {
 		return errors.New("draining")
 	}
 	if e.config.Current() == nil {
 		return errors.New("no configuration has been accepted yet")
 	}
-	if time.Since(e.started) < settleTime && !e.knowsTargets() {
+	if time.Since(e.started) < warmupTime && !e.knowsTargets() {
 		return errors.New("just started, no target is known yet")
 	}
 	return nil
 }
 
-// firstConfigTime is how long after its start an entry holds submissions until it has a
-// configuration: it learns the one in force within some exchanges with the entries that it
-// finds. After a loss of all power callers come back in that moment, and refused at once most
-// of them would be lost for a tenth of a second.
-const firstConfigTime = 500 * time.Millisecond
+// firstConfigTimeout is how long after its start an entry delays submissions until it has a
+// configuration. It receives the one in effect within a few exchanges with the entries that
+// it discovers. After a power loss of all VMs callers return at that moment. Refusing them at
+// once would lose most of them because of a tenth of a second.
+const firstConfigTimeout = 500 * time.Millisecond
 
-// AwaitConfiguration waits for the configuration in the first moments of this life, and
-// reports whether there is one.
+// AwaitConfiguration waits for the first configuration until firstConfigTimeout after the
+// start, and reports whether there is one.
 func (e *Entry) AwaitConfiguration(ctx context.Context) bool {
 	if e.config.Current() != nil {
 		return true
 	}
-	left := firstConfigTime - time.Since(e.started)
+	left := firstConfigTimeout - time.Since(e.started)
 	if left <= 0 {
 		return false
 	}
@@ -70,12 +70,12 @@
 	return e.register.AwaitFirst(ctx)
 }
 
-// Apply has a declarative file accepted, as an operator's request does.
+// Apply submits a declarative file for acceptance, as an operator's request does.
 func (e *Entry) Apply(ctx context.Context, changeID string, body []byte) (register.Accepted, error) {
 	return e.register.Apply(ctx, changeID, body)
 }
 
-// Configuration returns the number of the configuration in force; 0 before any.
+// Configuration returns the number of the configuration in effect; 0 before the first.
 func (e *Entry) Configuration() uint64 {
 	if file := e.config.Current(); file != nil {
 		return file.Number
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry assembles one entry: the callers', peers' and operators'
-// listeners, the stages of the path, the holder of targets and what entries
-// share. It is wiring; the work stands in the packages that it joins.
+// Package entry assembles one entry: the listeners for callers, peers and operators,
+// the stages of the submission pipeline, the holder of targets and the state shared
+// between entries. It wires other packages together; they do the actual work.
 package entry
 
 import (
@@ -44,55 +44,55 @@
 	Settings  settings.Entry
 	Listeners Listeners
 	Log       *slog.Logger
-	// Scheduler switches single decisions off, for measurements.
+	// Scheduler disables single decisions, for measurements.
 	Scheduler scheduler.Options
-	// Events bounds the time line's ring; zero takes the default, a negative
-	// number switches the time line off, for measurements.
+	// Events is the size of the timeline's ring buffer; zero means the default. A
+	// negative number disables the timeline, for measurements.
 	Events int
-	// Config, when set, is in force in place of what the entries agree on; the
+	// Config, when set, replaces the configuration that the entries agree on; the
 	// load tool uses it.
 	Config config.View
 	// Linger is how long a stopping entry keeps answering after its work has
-	// ended; zero takes DefaultLinger.
+	// ended; zero means DefaultLinger.
 	Linger time.Duration
-	// Notice is how long a stopping entry goes on taking submissions after it has
-	// said that it is not ready: the balancer sends callers until it has noticed.
+	// Notice is how long a stopping entry accepts submissions after it has reported
+	// that it is not ready: the balancer sends callers until it notices.
 	Notice time.Duration
-	// Grace is how long a planned stop may take until what is left is answered as
-	// failed; zero waits for all of it.
+	// Grace is how long a planned stop may take before the remaining submissions are
+	// answered as failed; zero waits for all of them.
 	Grace time.Duration
-	// Incarnation numbers this life of the entry; zero takes the clock.
+	// Incarnation is the number of this run of the entry; zero takes it from the clock.
 	Incarnation job.Incarnation
-	// Parse reads a declarative file; nil takes config.Parse.
+	// Parse parses a declarative file; nil means config.Parse.
 	Parse func(name string, body []byte) (*config.File, error)
-	// Malformed counts what others sent that can't be used; nil takes one of the
-	// entry's own.
+	// Malformed counts unusable input from others; nil creates a new tally.
 	Malformed *malformed.Tally
-	// Orders, when set, is the way to a target that runs tasks under a lease, in
-	// place of the targets' HTTP interface.
+	// Orders, when set, returns the client for a target that runs tasks under a lease,
+	// in place of the targets' HTTP interface.
 	Orders func(job.Target) runs.Orders
-	// Lease is the longest lease that such a target gives; zero takes the default.
+	// Lease is the longest lease that such a target grants; zero means the default.
 	Lease time.Duration
-	// Suspended returns for how long the VM was suspended so far; nil stands for
+	// Suspended returns the total time for which the VM was suspended so far; nil means
 	// never.
 	Suspended func() time.Duration
-	// Seeds, when set, replaces the seeds of the settings, which may change.
+	// Seeds, when set, replaces the seeds of the settings; its result may change.
 	Seeds func() []string
-	// LogEvents writes each decision as a log line too, within a budget, and
+	// LogEvents also writes each decision as a log line, within a budget, and
 	// counts it for the metrics address.
 	LogEvents bool
-	// Attach, when set, returns further servers of this entry.
+	// Attach, when set, returns additional servers of this entry.
 	Attach func(*Entry) []Attached
 }
 
-// Attached is one more server of an entry. Its listener is open already.
+// Attached is an additional server of an entry. Its listener is already open.
 type Attached struct {
 	Listener net.Listener
 	Server   *http.Server
-	// Intake says that the server only takes submissions. It ends when a stopping
-	// entry takes no more: whoever comes then is not connected, knows that nothing
-	// of it ran and turns to another entry at once. Answered "draining" instead, a
-	// caller whose connection had stayed open would be lost to a planned stop.
+	// Intake says that the server only accepts submissions. The server ends when a
+	// stopping entry accepts no more. Callers then can't connect, so they know that
+	// nothing of their job ran, and use another entry at once. If the entry answered
+	// "draining" instead, a caller with an open connection would fail because of a
+	// planned stop.
 	Intake bool
 }
 
@@ -102,34 +102,34 @@
 	self  job.Owner
 	log   *slog.Logger
 	clock *timeline.Clock
-	// awake is the clock by which this entry notices that it stood still.
+	// awake is the clock by which this entry detects that it was paused.
 	awake awake.Clock
-	// rights are those to act for owners of transient work; nil where heartbeats are too
-	// sparse for it, and no work is transient.
+	// rights holds the rights to act for owners of transient work; nil where heartbeats
+	// are too sparse for it and no work is transient.
 	rights *rights
 	ring   *timeline.Ring
-	// events is the ring, and the log where the entry tells its decisions there.
+	// events is the ring, plus the log if the entry logs its decisions.
 	events timeline.Sink
 	config config.View
 	links  *peer.Links
 
-	register *register.Register
-	members  *membership.Membership
-	lives    lives
-	// book and joiner find the other entries; nil where the settings name them.
-	book   *discovery.Book
-	joiner *discovery.Joiner
+	register         *register.Register
+	members          *membership.Membership
+	lastIncarnations lastIncarnations
+	// discovered and joiner discover the other entries; nil where the settings name them.
+	discovered *discovery.Book
+	joiner     *discovery.Joiner
 
-	record  *pipeline.Record
-	check   *pipeline.Check
-	join    *pipeline.Join
-	admit   *pipeline.Admit
-	chain   pipeline.Next
-	holder  *holder.Holder
-	holders *holders
-	remote  *handover.Remote
-	served  *handover.Server
-	// registrar knows who owns a submission.
+	record         *pipeline.Record
+	check          *pipeline.Check
+	join           *pipeline.Join
+	admit          *pipeline.Admit
+	chain          pipeline.Next
+	holder         *holder.Holder
+	holders        *holders
+	remote         *handover.Remote
+	handoverServer *handover.Server
+	// registrar knows the owner of each submission.
 	registrar *registrar.Registrar
 	keeper    *keep.Keeper
 	// submissions is the keeper's log; nil without a disk.
@@ -137,42 +137,43 @@
 	targets     *targets
 	// store is the data folder, nil on a VM without a disk.
 	store *storage.Store
-	// inventory keeps which entry holds what; nil where the settings name the entries.
+	// inventory records which entry holds which targets; nil where the settings name the
+	// entries.
 	inventory *targetInventory
 	memory    *api.ByteBudget
-	crashes   *crashes
-	// calls counts the calls of targets.
+	crashes   *crashReporter
+	// calls counts the calls to targets.
 	calls runs.Calls
 
 	// stopping is closed when an operator asks for a planned stop.
 	stopping chan struct{}
 	started  time.Time
-	leaving  atomic.Bool // a planned stop has begun
-	// intakeOver is closed when a stopping entry takes no more submissions.
-	intakeOver chan struct{}
-	// decisions writes events to the log; nil where it doesn't.
-	decisions *eventlog.Sink
-	metrics   *metrics.Sink
-	stopOnce  sync.Once
-	killed    chan struct{}
-	killOnce  sync.Once
+	draining atomic.Bool // a planned stop has begun
+	// intakeClosed is closed when a stopping entry accepts no more submissions.
+	intakeClosed chan struct{}
+	// eventLog writes events to the log; nil if they are not logged.
+	eventLog *eventlog.Sink
+	metrics  *metrics.Sink
+	stopOnce sync.Once
+	killed   chan struct{}
+	killOnce sync.Once
 }
 
-// bodyMemory bounds the bytes of submissions that one entry holds. It is half
-// of a small entry VM's 1 GiB; the payloads are held once, as they came.
-const bodyMemory = 512 << 20
+// maxBodyBytes bounds the bytes of submissions that one entry holds in memory: half
+// of a small entry VM's 1 GiB. Payloads are held once, as received.
+const maxBodyBytes = 512 << 20
 
 // DefaultLinger is how long a stopping entry keeps its listener and its
-// connections. A caller that reuses a connection writes its next request without
-// knowing that the entry closes it, and can't tell whether it was read. While
-// the entry lingers each answer closes its connection, so only connections
-// that were silent for all this time are closed under a caller. A second is
-// above the time between two requests of any busy connection.
+// connections. A caller that reuses a connection may write its next request while
+// the entry closes the connection, and can't know whether the entry read it. While
+// the entry lingers, each answer closes its connection, so at the end only
+// connections that were idle for the whole time remain to be closed. One second is
+// longer than the time between two requests on any busy connection.
 const DefaultLinger = time.Second
 
-// stopBound bounds how long a stop waits for callers that do not read their
-// answer after all work has ended.
-const stopBound = 10 * time.Second
+// stopTimeout bounds how long a stop waits, after all work has ended, for callers that
+// do not read their answers.
+const stopTimeout = 10 * time.Second
 
 // New assembles an entry and opens its listeners.
 func New(o Options) (*Entry, error) {
@@ -198,19 +199,19 @@
 		log:    o.Log.With("entry", self.Entry, "availability_zone", self.Zone),
 		clock:  timeline.NewClock(time.Now),
 		awake:  awake.Clock{Suspended: o.Suspended},
-		memory: api.NewByteBudget(bodyMemory),
+		memory: api.NewByteBudget(maxBodyBytes),
 
-		stopping:   make(chan struct{}),
-		started:    time.Now(),
-		killed:     make(chan struct{}),
-		intakeOver: make(chan struct{}),
+		stopping:     make(chan struct{}),
+		started:      time.Now(),
+		killed:       make(chan struct{}),
+		intakeClosed: make(chan struct{}),
 	}
 	e.ring = timeline.NewRing(self.Entry, e.clock, o.Events)
 	e.events = e.ring
 	if o.LogEvents {
 		e.metrics = metrics.New(e.ring)
-		e.decisions = eventlog.New(e.metrics, e.log)
-		e.events = e.decisions
+		e.eventLog = eventlog.New(e.metrics, e.log)
+		e.events = e.eventLog
 	}
 	if err := e.assemble(); err != nil {
 		return nil, errors.Trace(err)
@@ -218,7 +219,8 @@
 	return e, nil
 }
 
-// assemble joins the parts: first what entries share, then the path.
+// assemble creates the parts: first the state shared between entries, then the
+// submission pipeline.
 func (e *Entry) assemble() error {
 	if err := e.assembleShared(); err != nil {
 		return errors.Trace(err)
@@ -234,7 +236,7 @@
 	return nil
 }
 
-// configure brings a file into force in every stage that keeps something of
+// configure applies a configuration file to the stages that keep state derived from
 // it; the others read the view.
 func (e *Entry) configure(_, updated *config.File) {
 	if updated == nil {
@@ -244,30 +246,30 @@
 	e.holder.Configure(updated)
 }
 
-// assemblePath joins the stages.
+// assemblePath creates the holder, the membership and the stages of the pipeline.
 func (e *Entry) assemblePath() {
-	e.crashes = newCrashes(e)
+	e.crashes = newCrashReporter(e)
 	e.holder = holder.New(holder.Options{
 		Self:      e.self,
 		Config:    e.config,
 		Client:    target.NewClient(target.ClientOptions{}),
-		Connect:   e.connect(),
+		Connect:   e.connector(),
 		Events:    e.events,
 		Log:       e.log,
 		Scheduler: e.opts.Scheduler,
-		Crashes:   e.crashes.book,
-		OnCrash:   e.crashes.note,
+		Crashes:   e.crashes.tracker,
+		OnCrash:   e.crashes.record,
 	})
 	e.assembleMembership()
 	e.crashes.members = e.members
-	e.served = handover.Serve(e.links, e.holder)
-	e.served.OnOffer(e.members.Touch)
-	e.served.RecordTo(e.events)
-	e.served.TellLoads(e.holder.Load)
+	e.handoverServer = handover.Serve(e.links, e.holder)
+	e.handoverServer.OnOffer(e.members.Touch)
+	e.handoverServer.RecordTo(e.events)
+	e.handoverServer.TellLoads(e.holder.Load)
 	e.remote = handover.NewRemote(handover.RemoteOptions{
 		Mesh: e.links, Gone: e.members.Gone, Silent: e.members.Silent,
 		Proof: e.proofFor, Learn: e.members.Learn, Events: e.events,
-		Loaded: func(from job.EntryID, l job.HolderLoad) { e.holders.answered(from, l) },
+		Loaded: func(from job.EntryID, l job.HolderLoad) { e.holders.recordAnswerLoad(from, l) },
 	})
 	e.holders = newHolders(e.self, e.holder, e.remote, e.members)
 	e.targets = newTargets(e)
@@ -275,93 +277,93 @@
 		e.inventory = newTargetInventory(e.targets, e.store)
 		e.targets.inventory = e.inventory
 		if e.store != nil {
-			e.targets.forward.Remembers = e.inventory.remembers
+			e.targets.forward.Remembers = e.inventory.knowsHolder
 		}
 	}
 	e.record = &pipeline.Record{Events: e.events}
 	e.check = &pipeline.Check{Config: e.config, Events: e.events}
 	e.join = &pipeline.Join{Events: e.events}
 	e.admit = pipeline.NewAdmit(e.events)
-	e.assembleClaims()
+	e.assembleRegistrar()
 	e.serveSearches()
 	fresh := &pipeline.Fresh{Events: e.events}
 	if e.rights != nil {
-		e.served.NeedRights(e.rights)
-		fresh.Right = e.rights.own
+		e.handoverServer.NeedRights(e.rights)
+		fresh.Right = e.rights.ownRight
 	}
 	e.chain = pipeline.Chain(
 		e.record,
 		fresh,
 		e.check,
 		e.join,
-		&pipeline.Claim{Registrar: e.registrar, Owned: e.join.Owned, Collect: e.collect, Kept: e.kept, Find: e.find, Events: e.events},
+		&pipeline.Claim{Registrar: e.registrar, Owned: e.join.Owned, Collect: e.collectResults, Kept: e.keptAnswer, Find: e.findAnswer, Events: e.events},
 		e.admit,
 		&pipeline.Keep{Self: e.self, Choose: e.chooseKeeper, Events: e.events},
-		&pipeline.Run{Self: e.self, Holders: e.holders, Events: e.events, Crashes: e.crashes.book},
+		&pipeline.Run{Self: e.self, Holders: e.holders, Events: e.events, Crashes: e.crashes.tracker},
 	)
 }
 
-// Run serves until ctx ends and then stops as planned: no request in progress
-// is cut.
+// Run serves until ctx ends and then performs a planned stop, which interrupts no
+// request in progress.
 func (e *Entry) Run(ctx context.Context) error {
 	var g run.Group
 	e.events.Record(timeline.Event{Kind: timeline.EntryStarted})
-	e.log.Info("entry serves", "callers", e.opts.Settings.CallerAddr, "peers", e.opts.Settings.PeerAddr, "incarnation", e.self.Incarnation, "version", version())
+	e.log.Info("entry serving", "callers", e.opts.Settings.CallerAddr, "peers", e.opts.Settings.PeerAddr, "incarnation", e.self.Incarnation, "version", version())
 	caller := &api.Caller{Dispatcher: e, Config: e.config, Targets: api.Targets(e.targets), Memory: e.memory}
 	listen := e.opts.Listeners
 	if listen.Caller != nil {
-		e.add(&g, func(ctx context.Context) error {
-			return e.serve(ctx, api.Server(api.Closing(caller.Handler(), e.leaving.Load), e.log), listen.Caller)
+		e.addActor(&g, func(ctx context.Context) error {
+			return e.serve(ctx, api.Server(api.Closing(caller.Handler(), e.draining.Load), e.log), listen.Caller)
 		})
 	}
 	if e.opts.Attach != nil {
 		for _, a := range e.opts.Attach(e) {
-			a.Server.Handler = api.Closing(a.Server.Handler, e.leaving.Load)
-			e.add(&g, func(ctx context.Context) error { return e.serveAttached(ctx, a) })
+			a.Server.Handler = api.Closing(a.Server.Handler, e.draining.Load)
+			e.addActor(&g, func(ctx context.Context) error { return e.serveAttached(ctx, a) })
 		}
 	}
 	if e.joiner != nil {
-		e.add(&g, e.joiner.Run)
-		e.add(&g, e.forgetTheGone)
+		e.addActor(&g, e.joiner.Run)
+		e.addActor(&g, e.forgetDead)
 	}
 	if e.rights != nil {
-		e.add(&g, e.watchOwners)
+		e.addActor(&g, e.watchOwners)
 	}
 	if e.inventory != nil {
-		e.add(&g, e.inventory.run)
-		e.add(&g, e.inventory.save)
+		e.addActor(&g, e.inventory.run)
+		e.addActor(&g, e.inventory.save)
 	}
-	e.add(&g, func(ctx context.Context) error {
+	e.addActor(&g, func(ctx context.Context) error {
 		return e.serve(ctx, api.Server(e.operator().Handler(), e.log), listen.Operator)
 	})
-	e.add(&g, func(ctx context.Context) error { return api.Serve(ctx, e.links.Server(), listen.Peer, stopBound) })
-	e.add(&g, e.links.Run)
-	e.add(&g, e.register.Run)
-	e.add(&g, e.members.Run)
-	e.add(&g, e.tellFigures)
-	e.add(&g, e.registrar.Run)
-	e.add(&g, e.driveOn)
-	e.add(&g, e.targets.expire)
-	e.add(&g, e.waitForKill)
+	e.addActor(&g, func(ctx context.Context) error { return api.Serve(ctx, e.links.Server(), listen.Peer, stopTimeout) })
+	e.addActor(&g, e.links.Run)
+	e.addActor(&g, e.register.Run)
+	e.addActor(&g, e.members.Run)
+	e.addActor(&g, e.logTraffic)
+	e.addActor(&g, e.registrar.Run)
+	e.addActor(&g, e.watchOrphans)
+	e.addActor(&g, e.targets.watchLeases)
+	e.addActor(&g, e.waitForKill)
 	stopped, stop := e.stopContext(ctx)
-	g.Add(func() error { return e.stopAsPlanned(stopped) }, func(error) { stop() })
+	g.Add(func() error { return e.drainAndStop(stopped) }, func(error) { stop() })
 	err := g.Run()
 	e.holder.Close()
 	if e.submissions != nil {
 		_ = e.submissions.Close()
 	}
-	if e.decisions != nil {
-		e.decisions.Flush()
+	if e.eventLog != nil {
+		e.eventLog.Flush()
 	}
 	e.log.Info("entry stopped")
 	return errors.Trace(err)
 }
 
-// errKilled ends a run without waiting for anything.
+// errKilled ends Run without waiting for anything.
 const errKilled = errors.ConstError("killed")
 
-// Kill ends the entry as the loss of its VM would: nothing in progress is
-// waited for. Tests use it.
+// Kill ends the entry as the loss of its VM would, without waiting for work in
+// progress. Tests use it.
 func (e *Entry) Kill() {
 	e.killOnce.Do(func() { close(e.killed) })
 }
@@ -385,8 +387,8 @@
 	}
 }
 
-// add runs f until the group ends.
-func (e *Entry) add(g *run.Group, f func(context.Context) error) {
+// addActor adds f to the group; its context ends when the group ends.
+func (e *Entry) addActor(g *run.Group, f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error { return f(ctx) }, func(error) { cancel() })
 }
@@ -399,7 +401,7 @@
 	defer cancel()
 	go func() {
 		select {
-		case <-e.intakeOver:
+		case <-e.intakeClosed:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -421,7 +423,7 @@
 		case <-served:
 		}
 	}()
-	return api.Serve(ctx, server, l, stopBound)
+	return api.Serve(ctx, server, l, stopTimeout)
 }
 
 // Slots returns the slots of a pool that this entry can place tasks on, held
--- a/internal/entry/every.go
+++ b/internal/entry/every.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// every calls f once a period until ctx ends.
+// every calls f once per period until ctx ends.
 func every(ctx context.Context, period time.Duration, f func(now time.Time)) error {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
--- a/internal/entry/holders.go
+++ b/internal/entry/holders.go
@@ -13,7 +13,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/policy/split"
 )
 
-// holders is the owner's way to its own holder and to those of other entries.
+// holders gives the owner access to its own holder and to those of other entries.
 type holders struct {
 	self    job.Owner
 	local   *holder.Holder
@@ -22,60 +22,60 @@
 
 	mu       sync.Mutex
 	splitter *split.Splitter
-	// reported is when each entry's last reported load was taken, slots what it
-	// said of each pool.
-	reported map[job.EntryID]time.Time
-	slots    map[job.EntryID]map[string]int
-	// answers are the loads that came with answers whose outcomes are not counted yet.
-	answers map[job.EntryID]job.HolderLoad
+	// reportedAt is the time of each entry's last reported load, slots are the slots
+	// that it reported for each pool.
+	reportedAt map[job.EntryID]time.Time
+	slots      map[job.EntryID]map[string]int
+	// answerLoads are the loads that arrived with answers whose outcomes are not counted yet.
+	answerLoads map[job.EntryID]job.HolderLoad
 }
 
 var _ pipeline.Holders = (*holders)(nil)
 
-// splitSeed makes an entry's draws among equal holders the same in each run.
+// splitSeed makes an entry's random choice among equal holders the same in each run.
 const splitSeed = 1
 
 func newHolders(self job.Owner, local *holder.Holder, r *handover.Remote, m *membership.Membership) *holders {
 	return &holders{
-		self:     self,
-		local:    local,
-		remote:   r,
-		members:  m,
-		splitter: split.New(self.Entry, self.Zone, split.DefaultCosts(), splitSeed),
-		reported: map[job.EntryID]time.Time{},
-		slots:    map[job.EntryID]map[string]int{},
-		answers:  map[job.EntryID]job.HolderLoad{},
+		self:        self,
+		local:       local,
+		remote:      r,
+		members:     m,
+		splitter:    split.New(self.Entry, self.Zone, split.DefaultCosts(), splitSeed),
+		reportedAt:  map[job.EntryID]time.Time{},
+		slots:       map[job.EntryID]map[string]int{},
+		answerLoads: map[job.EntryID]job.HolderLoad{},
 	}
 }
 
-// takeIn hands loads to the splitter, each once: a second report of the same one would
-// forget what was sent to its holder since.
-func (h *holders) takeIn(now time.Time, loads []membership.Load) {
+// recordLoads passes loads to the splitter, each once: a second report of the same load
+// would discard the record of what was sent to its holder since.
+func (h *holders) recordLoads(now time.Time, loads []membership.Load) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	fresh := map[job.EntryID]time.Time{}
+	newReports := map[job.EntryID]time.Time{}
 	for _, l := range loads {
 		at := now.Add(-l.Age)
-		if l.Entry == h.self.Entry || at.Sub(h.reported[l.Entry]) < sameReport {
+		if l.Entry == h.self.Entry || at.Sub(h.reportedAt[l.Entry]) < sameReportTolerance {
 			continue
 		}
-		if _, again := fresh[l.Entry]; !again {
+		if _, seen := newReports[l.Entry]; !seen {
 			h.slots[l.Entry] = map[string]int{}
 		}
-		fresh[l.Entry] = at
+		newReports[l.Entry] = at
 		h.slots[l.Entry][l.Pool] = l.Slots
 		h.splitter.Report(at, l.HolderLoad)
 	}
-	for entry, at := range fresh {
-		h.reported[entry] = at
+	for entry, at := range newReports {
+		h.reportedAt[entry] = at
 	}
 }
 
-// sameReport is by how much the times of two reports of one holder may differ that are one
-// and the same: a report has an age in milliseconds.
-const sameReport = 2 * time.Millisecond
+// sameReportTolerance is the difference in time below which two reports of one holder count
+// as the same report: a report carries its age in milliseconds.
+const sameReportTolerance = 2 * time.Millisecond
 
-// setView drops holders that take no new work.
+// setView drops holders that accept no new work.
 func (h *holders) setView(view membership.Members) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -87,8 +87,8 @@
 	}
 }
 
-// Place implements pipeline.Holders. This entry's own load is read at the
-// moment of the decision, so it is never old.
+// Place implements pipeline.Holders. It reads this entry's own load at the time of the
+// decision, so that load is never stale.
 func (h *holders) Place(now time.Time, f *pipeline.Flow, tasks []int, without []job.EntryID) ([]pipeline.Part, job.Reason) {
 	own := h.local.Load(f.Service.Pool)
 	batch := make([]job.BatchTask, len(tasks))
@@ -97,9 +97,9 @@
 	}
 	plan := h.split(now, own, f, batch, without)
 	if len(plan.Parts) == 0 {
-		// A heartbeat may have named a holder since loads were last taken in. A
-		// refusal for want of a target must not rest on that moment.
-		h.takeIn(now, h.members.AgedLoads())
+		// A heartbeat may have reported a holder since loads were last recorded. A job
+		// must not be refused for lack of a target because of that delay.
+		h.recordLoads(now, h.members.AgedLoads())
 		plan = h.split(now, own, f, batch, without)
 	}
 	parts := make([]pipeline.Part, len(plan.Parts))
@@ -127,7 +127,7 @@
 // Offer implements pipeline.Holders.
 func (h *holders) Offer(to job.EntryID, pool string, b *job.Batch, report func([]job.TaskOutcome)) {
 	counted := func(outcomes []job.TaskOutcome) {
-		h.returned(to, pool, len(b.Tasks), outcomes)
+		h.batchEnded(to, pool, len(b.Tasks), outcomes)
 		report(outcomes)
 	}
 	if to == h.self.Entry {
@@ -143,8 +143,8 @@
 	return &view
 }
 
-// returned tells the splitter that a batch has ended.
-func (h *holders) returned(from job.EntryID, pool string, n int, outcomes []job.TaskOutcome) {
+// batchEnded notifies the splitter that a batch has ended.
+func (h *holders) batchEnded(from job.EntryID, pool string, n int, outcomes []job.TaskOutcome) {
 	var sum time.Duration
 	ran := 0
 	for i := range outcomes {
@@ -160,16 +160,17 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.splitter.Returned(pool, from, n, mean)
-	if l, ok := h.answers[from]; ok {
-		// It was made after these tasks had ended.
-		delete(h.answers, from)
-		h.reported[from] = time.Now()
+	if l, ok := h.answerLoads[from]; ok {
+		// The holder measured this load after these tasks had ended.
+		delete(h.answerLoads, from)
+		h.reportedAt[from] = time.Now()
 		h.splitter.Report(time.Now(), l)
 	}
 }
 
-// answered keeps the load that a holder told with its answer until the outcomes are counted.
-func (h *holders) answered(from job.EntryID, l job.HolderLoad) {
+// recordAnswerLoad keeps the load that a holder reported with its answer until the outcomes
+// are counted.
+func (h *holders) recordAnswerLoad(from job.EntryID, l job.HolderLoad) {
 	member, known := h.view().Get(from)
 	if !known || !member.Serving() {
 		return
@@ -177,7 +178,7 @@
 	l.Entry, l.Zone = from, member.Zone
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.answers[from] = l
+	h.answerLoads[from] = l
 }
 
 // Cancel implements pipeline.Holders.
@@ -189,7 +190,7 @@
 	h.remote.Cancel(to, id)
 }
 
-// knownSlots returns the slots of a pool that this owner can place tasks on.
+// knownSlots returns the number of slots of a pool on which this owner can place tasks.
 func (h *holders) knownSlots(pool string) int {
 	own := h.local.Load(pool).Slots
 	h.mu.Lock()
--- a/internal/entry/inventory.go
+++ b/internal/entry/inventory.go
@@ -20,32 +20,33 @@
 )
 
 const (
-	// tellEvery is how often a holder looks whether it holds other targets than it has
-	// said, and saveEvery how often what was said is written: changes come a few an hour,
-	// and a sync holds up the agreement on the same disk.
-	tellEvery = 500 * time.Millisecond
-	saveEvery = time.Second
-	// tellTime bounds one telling, and one question for what was held.
-	tellTime = 400 * time.Millisecond
-	// yieldedFor is for how long an entry that lost a target to another one asks who that
-	// was before it would take the target again: some announcements.
-	yieldedFor = 5 * time.Second
-	// heldRecord names the record on the disk, heldFormat its format.
+	// reportInterval is how often a holder checks whether its targets differ from its last
+	// report. saveInterval is how often received reports are written to disk: there are a few
+	// changes an hour, and a sync delays consensus on the same disk.
+	reportInterval = 500 * time.Millisecond
+	saveInterval   = time.Second
+	// reportTimeout bounds one report, and one query for the targets last held.
+	reportTimeout = 400 * time.Millisecond
+	// yieldRetention is how long an entry that lost a target to another one queries a keeper
+	// for the new holder instead of taking the target back: a few announcements.
+	yieldRetention = 5 * time.Second
+	// heldRecord is the name of the record on disk, heldFormat its format version.
 	heldRecord = "targets"
 	heldFormat = 1
 )
 
-// recollection is the answer to an entry that asks what its last life held.
-type recollection struct {
+// recallReply is the answer to an entry that queries which targets its previous incarnation
+// held.
+type recallReply struct {
 	Held inventory.Held `cbor:"1,keyasint"`
-	// Known is false where nothing was ever heard of the entry.
+	// Known is false if the entry has never reported.
 	Known bool `cbor:"2,keyasint,omitempty"`
-	// Later says to ask again: what is remembered may be older than what others hold now.
+	// Later requests another query later: the record may be older than what others hold now.
 	Later bool `cbor:"3,keyasint,omitempty"`
 }
 
-// targetInventory keeps what the entries of this zone hold on this entry's disk, and has this
-// entry's own targets kept by those that have one.
+// targetInventory records on this entry's disk which targets the entries of this zone hold,
+// and reports this entry's own targets to the entries with a disk.
 type targetInventory struct {
 	self    job.Owner
 	targets *targets
@@ -55,33 +56,33 @@
 	store *storage.Store
 	log   *slog.Logger
 
-	// mu guards the book and whether the disk lags behind it.
+	// mu guards the table, and dirty, which is set while the disk is behind the table.
 	mu    sync.Mutex
-	book  *inventory.Book
+	table *inventory.Book
 	dirty bool
-	// heard are the entries that have said what they hold since this one began.
-	heard map[job.EntryID]bool
+	// heardFrom are the entries that have reported their targets since this one started.
+	heardFrom map[job.EntryID]bool
 
-	// said is what this entry says that it holds, told who has it. One goroutine uses
-	// them.
-	said inventory.Held
-	told map[job.EntryID]word
-	// recalling are the targets that are being asked whether they are still the same,
-	// again is set once some are.
-	recalling atomic.Pointer[map[job.TargetID]bool]
-	again     atomic.Bool
+	// lastReport is this entry's latest report, delivered the report that each entry has
+	// received last. Only one goroutine uses them.
+	lastReport inventory.Held
+	delivered  map[job.EntryID]reportID
+	// pending are the targets being reclaimed, which are queried whether they are still the
+	// same. reclaimed is set once reclaiming has begun.
+	pending   atomic.Pointer[map[job.TargetID]bool]
+	reclaimed atomic.Bool
 }
 
-// word is what one life of an entry was told last.
-type word struct {
-	life   job.Incarnation
-	number uint64
+// reportID identifies the last report that an incarnation of an entry has received.
+type reportID struct {
+	incarnation job.Incarnation
+	number      uint64
 }
 
 func newTargetInventory(t *targets, store *storage.Store) *targetInventory {
 	v := &targetInventory{
 		self: t.self, targets: t, members: t.members, mesh: t.mesh, store: store, log: t.log,
-		told: map[job.EntryID]word{}, book: &inventory.Book{}, heard: map[job.EntryID]bool{},
+		delivered: map[job.EntryID]reportID{}, table: &inventory.Book{}, heardFrom: map[job.EntryID]bool{},
 	}
 	v.load()
 	v.mesh.Handle(peer.TargetsHeld, v.handleHeld)
@@ -89,8 +90,8 @@
 	return v
 }
 
-// load reads what was kept. What can't be read costs the seconds until the targets announce
-// themselves, nothing else.
+// load reads the saved table. If it can't be read, the entry only has to wait some seconds
+// until the targets announce themselves.
 func (v *targetInventory) load() {
 	if v.store == nil {
 		return
@@ -104,25 +105,26 @@
 		err = cbor.Unmarshal(body, &held)
 	}
 	if err != nil || format != heldFormat {
-		v.log.Warn("the targets of before are not known", "format", format, "error", err)
+		v.log.Warn("remembered targets can't be loaded", "format", format, "error", err)
 		return
 	}
-	v.book = inventory.Load(held)
-	v.log.Info("targets of before known", "entries", len(held), "targets", v.book.Targets())
+	v.table = inventory.Load(held)
+	v.log.Info("remembered targets loaded", "entries", len(held), "targets", v.table.Targets())
 }
 
-// run takes the targets of this entry's last life, and then tells what it holds until ctx
-// ends. It says nothing before: its first word would replace the one that it asks for.
+// run reclaims the targets of this entry's previous incarnation, and then reports the held
+// targets until ctx ends. It must not report earlier: the first report would replace the one
+// that it queries.
 func (v *targetInventory) run(ctx context.Context) error {
 	v.recall(ctx)
-	v.tell(ctx)
-	return every(ctx, tellEvery, func(time.Time) { v.tell(ctx) })
+	v.report(ctx)
+	return every(ctx, reportInterval, func(time.Time) { v.report(ctx) })
 }
 
-// save writes what was told, until ctx ends.
+// save writes received reports to disk, until ctx ends.
 func (v *targetInventory) save(ctx context.Context) error {
 	failing := false
-	return every(ctx, saveEvery, func(time.Time) {
+	return every(ctx, saveInterval, func(time.Time) {
 		body, number := v.unsaved()
 		if body == nil {
 			return
@@ -136,13 +138,13 @@
 		v.dirty = true
 		v.mu.Unlock()
 		if !failing {
-			v.log.Warn("which targets the entries hold is not written", "targets", number, "error", err)
+			v.log.Warn("targets held by the entries can't be saved", "targets", number, "error", err)
 		}
 		failing = true
 	})
 }
 
-// unsaved returns what is to be written; nil for nothing.
+// unsaved returns the encoded table if it has unsaved changes, nil otherwise.
 func (v *targetInventory) unsaved() (body []byte, targets int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -150,37 +152,37 @@
 		return nil, 0
 	}
 	v.dirty = false
-	body, err := cbor.Marshal(v.book.All())
+	body, err := cbor.Marshal(v.table.All())
 	if err != nil {
-		v.log.Error("which targets the entries hold is not encoded", "error", err)
+		v.log.Error("targets held by the entries can't be encoded", "error", err)
 		return nil, 0
 	}
-	return body, v.book.Targets()
+	return body, v.table.Targets()
 }
 
-// change makes a change of the book.
-func (v *targetInventory) change(f func(*inventory.Book) bool) {
+// update applies a change to the table.
+func (v *targetInventory) update(f func(*inventory.Book) bool) {
 	if v == nil || v.store == nil {
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.dirty = f(v.book) || v.dirty
+	v.dirty = f(v.table) || v.dirty
 }
 
-// moved notes that a target was given to an entry.
-func (v *targetInventory) moved(t job.Target, to job.EntryID) {
-	v.change(func(b *inventory.Book) bool { return b.Moved(t, to) })
+// recordMove records that a target was assigned to an entry.
+func (v *targetInventory) recordMove(t job.Target, to job.EntryID) {
+	v.update(func(b *inventory.Book) bool { return b.Moved(t, to) })
 }
 
-// drop forgets a target that leaves or has ended.
+// drop removes a target that is stopping or has ended.
 func (v *targetInventory) drop(id job.TargetID) {
-	v.change(func(b *inventory.Book) bool { return b.Drop(id) })
+	v.update(func(b *inventory.Book) bool { return b.Drop(id) })
 }
 
-// forget drops an entry that is gone for good.
-func (v *targetInventory) forget(entry job.EntryID) {
-	v.change(func(b *inventory.Book) bool {
+// forgetEntry removes an entry that will not return.
+func (v *targetInventory) forgetEntry(entry job.EntryID) {
+	v.update(func(b *inventory.Book) bool {
 		return b.Keep(func(known job.EntryID) bool { return known != entry })
 	})
 }
@@ -191,36 +193,37 @@
 		return nil, errors.Annotate(err, "decoding the targets that an entry holds")
 	}
 	h.Life = from.Incarnation
-	v.change(func(b *inventory.Book) bool {
-		v.heard[from.Entry] = true
+	v.update(func(b *inventory.Book) bool {
+		v.heardFrom[from.Entry] = true
 		return b.Told(from.Entry, h)
 	})
 	return true, nil
 }
 
 func (v *targetInventory) handleRecall(_ context.Context, from job.Owner, _ cbor.RawMessage) (any, error) {
-	return v.remembered(from.Entry), nil
+	return v.lastHeldBy(from.Entry), nil
 }
 
-// remembered returns what the last life of an entry held. While a holder that was up all the
-// time has not said what it holds, it says to ask later: that one may have taken some of
-// these targets when this entry was down, and would lose what runs there.
-func (v *targetInventory) remembered(entry job.EntryID) recollection {
+// lastHeldBy returns the targets that the previous incarnation of an entry held. It asks for
+// a later query while a holder that kept running has not reported its targets yet: that
+// holder may have taken some of these targets while this entry was down, and would lose the
+// tasks that run there.
+func (v *targetInventory) lastHeldBy(entry job.EntryID) recallReply {
 	view := v.members.View()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for other, h := range v.book.All() {
+	for other, h := range v.table.All() {
 		m, found := view.Get(other)
-		if other != entry && other != v.self.Entry && found && m.Serving() && m.Incarnation == h.Life && !v.heard[other] {
-			return recollection{Later: true}
+		if other != entry && other != v.self.Entry && found && m.Serving() && m.Incarnation == h.Life && !v.heardFrom[other] {
+			return recallReply{Later: true}
 		}
 	}
-	h, known := v.book.Of(entry)
-	return recollection{Held: h, Known: known}
+	h, known := v.table.Of(entry)
+	return recallReply{Held: h, Known: known}
 }
 
-// keepers returns the entries that keep what this one holds: those of its zone that have a
-// disk. Others would often be behind on who holds what there.
+// keepers returns the entries that record this one's targets: those of its zone that have a
+// disk. Entries of other zones would often have outdated records of the holders here.
 func (v *targetInventory) keepers() []membership.Member {
 	view := v.members.View()
 	return slices.DeleteFunc(slices.Clone(view.List), func(m membership.Member) bool {
@@ -228,54 +231,55 @@
 	})
 }
 
-// tell has the keepers know what this entry holds, where they don't.
-func (v *targetInventory) tell(ctx context.Context) {
+// report reports this entry's targets to the keepers that have not received the latest report.
+func (v *targetInventory) report(ctx context.Context) {
 	held := v.targets.registry.Held()
 	for i := range held {
 		held[i].Running = 0
 	}
-	if !slices.Equal(held, v.said.Targets) || v.said.Number == 0 {
-		v.said = inventory.Held{Life: v.self.Incarnation, Number: v.said.Number + 1, Targets: held}
-		v.change(func(b *inventory.Book) bool { return b.Told(v.self.Entry, v.said) })
+	if !slices.Equal(held, v.lastReport.Targets) || v.lastReport.Number == 0 {
+		v.lastReport = inventory.Held{Life: v.self.Incarnation, Number: v.lastReport.Number + 1, Targets: held}
+		v.update(func(b *inventory.Book) bool { return b.Told(v.self.Entry, v.lastReport) })
 	}
-	v.tellKeepers(ctx)
+	v.reportToKeepers(ctx)
 }
 
-func (v *targetInventory) tellKeepers(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, tellTime)
+func (v *targetInventory) reportToKeepers(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	heard := map[job.EntryID]word{}
+	confirmed := map[job.EntryID]reportID{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, m := range v.keepers() {
-		now := word{m.Incarnation, v.said.Number}
-		if v.told[m.Entry] == now {
+		current := reportID{m.Incarnation, v.lastReport.Number}
+		if v.delivered[m.Entry] == current {
 			continue
 		}
 		wg.Go(func() {
-			if v.mesh.Call(ctx, m.Entry, peer.TargetsHeld, v.said, nil) != nil {
-				return // the next round tells again
+			if v.mesh.Call(ctx, m.Entry, peer.TargetsHeld, v.lastReport, nil) != nil {
+				return // the next round retries
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			heard[m.Entry] = now
+			confirmed[m.Entry] = current
 		})
 	}
 	wg.Wait()
-	maps.Copy(v.told, heard)
+	maps.Copy(v.delivered, confirmed)
 }
 
-// recalled reports whether this entry takes targets of its last life again.
-func (v *targetInventory) recalled() bool { return v != nil && v.again.Load() }
+// hasReclaimed reports whether this entry has begun to reclaim targets of its previous
+// incarnation.
+func (v *targetInventory) hasReclaimed() bool { return v != nil && v.reclaimed.Load() }
 
-// holderOf returns the entry that is remembered to hold a target, while it serves; empty for
-// none. found is false for one that has not been found yet.
+// holderOf returns the recorded holder of a target if it is serving, empty otherwise. found is
+// false if the holder has not been discovered yet.
 func (v *targetInventory) holderOf(id job.TargetID) (holder job.EntryID, found bool) {
 	if v == nil || v.store == nil {
 		return "", true
 	}
 	v.mu.Lock()
-	holder = v.book.HolderOf(id)
+	holder = v.table.HolderOf(id)
 	v.mu.Unlock()
 	if holder == "" || holder == v.self.Entry {
 		return "", true
@@ -288,19 +292,19 @@
 	return "", known
 }
 
-// count returns how many targets this entry remembers for others.
+// count returns the number of targets in this entry's table.
 func (v *targetInventory) count() int {
 	if v == nil {
 		return 0
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.book.Targets()
+	return v.table.Targets()
 }
 
-// remembers reports whether it is known here who holds a target.
-func (v *targetInventory) remembers(id job.TargetID) bool {
+// knowsHolder reports whether the holder of a target is recorded here.
+func (v *targetInventory) knowsHolder(id job.TargetID) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.book.HolderOf(id) != ""
+	return v.table.HolderOf(id) != ""
 }
--- a/internal/entry/inventory_test.go
+++ b/internal/entry/inventory_test.go
@@ -23,7 +23,7 @@
 )
 
 // zoneOf is a zone with one entry that keeps what is told and two that hold targets.
-type zoneOf struct {
+type testZone struct {
 	t     *testing.T
 	net   *peertest.Network
 	store *storage.Store
@@ -32,7 +32,7 @@
 }
 
 // begin starts a life of an entry.
-func (z *zoneOf) begin(name job.EntryID, life job.Incarnation) *targetInventory {
+func (z *testZone) start(name job.EntryID, life job.Incarnation) *targetInventory {
 	mesh := z.net.Join(job.Owner{Entry: name, Incarnation: life, Zone: "z"})
 	var peers []membership.Peer
 	for _, other := range []job.EntryID{"a", "b", "keeper"} {
@@ -40,16 +40,16 @@
 			peers = append(peers, membership.Peer{Entry: other, Zone: "z", Reserve: other == "keeper"})
 		}
 	}
-	h := holder.New(holder.Options{Self: mesh.Self(), Config: config.Fixed{}, Connect: func(job.Target) holder.Connection { return busy{} }})
+	h := holder.New(holder.Options{Self: mesh.Self(), Config: config.Fixed{}, Connect: func(job.Target) holder.Connection { return busyConn{} }})
 	ts := &targets{
 		self: mesh.Self(), mesh: mesh, exclusive: true, events: timeline.Discard{}, log: slog.New(slog.DiscardHandler),
-		config:   config.Fixed{},
-		registry: target.NewRegistry("z", config.Fixed{}),
-		holder:   h,
-		members:  membership.New(membership.Options{Mesh: mesh, Peers: peers, Loads: h.Loads}),
-		passed:   map[job.TargetID]passedOn{}, leaving: map[job.TargetID]job.EntryID{}, yielded: map[job.TargetID]time.Time{},
-		listens: func(t job.Target) bool { return !z.ended[t.ID] },
-		started: time.Now(),
+		config:        config.Fixed{},
+		registry:      target.NewRegistry("z", config.Fixed{}),
+		holder:        h,
+		members:       membership.New(membership.Options{Mesh: mesh, Peers: peers, Loads: h.Loads}),
+		announcements: map[job.TargetID]announcement{}, transfers: map[job.TargetID]job.EntryID{}, yielded: map[job.TargetID]time.Time{},
+		isListening: func(t job.Target) bool { return !z.ended[t.ID] },
+		started:     time.Now(),
 	}
 	var store *storage.Store
 	if name == "keeper" {
@@ -59,14 +59,14 @@
 	return ts.inventory
 }
 
-func (z *zoneOf) hold(v *targetInventory, ids ...job.TargetID) {
+func (z *testZone) hold(v *targetInventory, ids ...job.TargetID) {
 	for i, id := range ids {
-		_, err := heldHere{v.targets}.Announce(job.Target{ID: id, Pool: "p", Address: "10.0.0.1:" + string(rune('1'+i)), Zone: "z"})
+		_, err := localTargets{v.targets}.Announce(job.Target{ID: id, Pool: "p", Address: "10.0.0.1:" + string(rune('1'+i)), Zone: "z"})
 		qt.Assert(z.t, err, qt.IsNil)
 	}
 }
 
-func held(v *targetInventory) []job.TargetID {
+func heldIDs(v *targetInventory) []job.TargetID {
 	var ids []job.TargetID
 	for _, t := range v.targets.registry.Held() {
 		ids = append(ids, t.ID)
@@ -75,19 +75,19 @@
 }
 
 // write saves once, as the timer does.
-func (z *zoneOf) write(v *targetInventory) {
+func (z *testZone) save(v *targetInventory) {
 	body, _ := v.unsaved()
 	if body != nil {
 		qt.Assert(z.t, z.store.Save(heldRecord, heldFormat, body), qt.IsNil)
 	}
 }
 
-func inZone(t *testing.T, f func(*testing.T, *zoneOf)) {
+func withTestZone(t *testing.T, f func(*testing.T, *testZone)) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		store, err := storage.Open(dir, storage.OS{})
 		qt.Assert(t, err, qt.IsNil)
-		z := &zoneOf{t: t, net: &peertest.Network{Delay: time.Millisecond}, store: store, ended: map[job.TargetID]bool{}}
+		z := &testZone{t: t, net: &peertest.Network{Delay: time.Millisecond}, store: store, ended: map[job.TargetID]bool{}}
 		f(t, z)
 		for _, name := range []job.EntryID{"a", "b", "keeper"} {
 			z.net.Leave(name)
@@ -101,22 +101,22 @@
 // but targets announce themselves only every second or two: until then everybody is refused
 // though all targets stand idle. What ended meanwhile, or left, must not come back.
 func TestAfterALossOfAllPowerTargetsAreTakenAgain(t *testing.T) {
-	inZone(t, func(t *testing.T, z *zoneOf) {
-		keeper, a := z.begin("keeper", 1), z.begin("a", 1)
+	withTestZone(t, func(t *testing.T, z *testZone) {
+		keeper, a := z.start("keeper", 1), z.start("a", 1)
 		z.hold(a, "t1", "t2", "t3", "t4")
-		a.tell(t.Context())
-		a.targets.withdraw("t4", "", a.targets.holder.LeaveTarget)
-		qt.Assert(t, a.targets.leave(&job.Target{ID: "t3", Pool: "p", Address: "10.0.0.1:3", Zone: "z"}), qt.IsNil)
-		keeper.targets.drop("t4")
-		keeper.targets.drop("t3")
-		z.write(keeper)
-
-		z.begin("keeper", 2)
-		a = z.begin("a", 2)
+		a.report(t.Context())
+		a.targets.remove("t4", "", a.targets.holder.LeaveTarget)
+		qt.Assert(t, a.targets.removeStopping(&job.Target{ID: "t3", Pool: "p", Address: "10.0.0.1:3", Zone: "z"}), qt.IsNil)
+		keeper.targets.removeEnded("t4")
+		keeper.targets.removeEnded("t3")
+		z.save(keeper)
+
+		z.start("keeper", 2)
+		a = z.start("a", 2)
 		z.ended["t2"] = true
 		begun := time.Now()
 		a.recall(t.Context())
-		qt.Assert(t, held(a), qt.DeepEquals, []job.TargetID{"t1"})
+		qt.Assert(t, heldIDs(a), qt.DeepEquals, []job.TargetID{"t1"})
 		qt.Assert(t, time.Since(begun) < 100*time.Millisecond, qt.IsTrue)
 	})
 }
@@ -124,74 +124,74 @@
 // An entry is restarted while another one has its targets. Taken back they would lose what
 // runs there.
 func TestWhatAnotherEntryHoldsIsNotTakenBack(t *testing.T) {
-	inZone(t, func(t *testing.T, z *zoneOf) {
-		z.begin("keeper", 1)
-		a, b := z.begin("a", 1), z.begin("b", 1)
+	withTestZone(t, func(t *testing.T, z *testZone) {
+		z.start("keeper", 1)
+		a, b := z.start("a", 1), z.start("b", 1)
 		z.hold(a, "t1", "t2")
-		a.tell(t.Context())
+		a.report(t.Context())
 		z.hold(b, "t1")
-		b.tell(t.Context())
-		a = z.begin("a", 2)
+		b.report(t.Context())
+		a = z.start("a", 2)
 		a.recall(t.Context())
-		qt.Assert(t, held(a), qt.DeepEquals, []job.TargetID{"t2"})
+		qt.Assert(t, heldIDs(a), qt.DeepEquals, []job.TargetID{"t2"})
 	})
 }
 
 // The entry that remembers was down itself while targets changed hands. What it has on its
 // disk is old then, until the holders have told it again.
 func TestOldMemoryIsNotTrusted(t *testing.T) {
-	inZone(t, func(t *testing.T, z *zoneOf) {
-		keeper := z.begin("keeper", 1)
-		a, b := z.begin("a", 1), z.begin("b", 1)
+	withTestZone(t, func(t *testing.T, z *testZone) {
+		keeper := z.start("keeper", 1)
+		a, b := z.start("a", 1), z.start("b", 1)
 		z.hold(a, "t1")
-		a.tell(t.Context())
-		b.tell(t.Context())
-		z.write(keeper)
-		keeper = z.begin("keeper", 2)
-		heardOf(keeper, b.self)
+		a.report(t.Context())
+		b.report(t.Context())
+		z.save(keeper)
+		keeper = z.start("keeper", 2)
+		touch(keeper, b.self)
 		z.hold(b, "t1")
 
-		a = z.begin("a", 2)
+		a = z.start("a", 2)
 		ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 		defer cancel()
 		a.recall(ctx)
-		qt.Assert(t, held(a), qt.HasLen, 0)
-		b.tell(t.Context())
+		qt.Assert(t, heldIDs(a), qt.HasLen, 0)
+		b.report(t.Context())
 		a.recall(t.Context())
-		qt.Assert(t, held(a), qt.HasLen, 0)
-		qt.Assert(t, held(b), qt.DeepEquals, []job.TargetID{"t1"})
+		qt.Assert(t, heldIDs(a), qt.HasLen, 0)
+		qt.Assert(t, heldIDs(b), qt.DeepEquals, []job.TargetID{"t1"})
 	})
 }
 
 // forwarding is an entry's way of announcements.
-func forwarding(v *targetInventory) *handover.Targets {
-	out := handover.NewTargets(v.mesh, v.targets.holderOf, heldHere{v.targets})
+func newForwarder(v *targetInventory) *handover.Targets {
+	out := handover.NewTargets(v.mesh, v.targets.holderOf, localTargets{v.targets})
 	if v.store != nil {
-		out.Remembers = v.remembers
+		out.Remembers = v.knowsHolder
 	}
 	return out
 }
 
 // heardOf has an entry hear a life of another one.
-func heardOf(v *targetInventory, other job.Owner) { v.members.Touch(other) }
+func touch(v *targetInventory, other job.Owner) { v.members.Touch(other) }
 
 // The holders of a zone take their targets again, some later than others. Evened out by what
 // they hold so far, targets would go to those that are about to take their own.
 func TestTargetsThatAreTakenAgainStay(t *testing.T) {
-	inZone(t, func(t *testing.T, z *zoneOf) {
-		z.begin("keeper", 1)
-		a := z.begin("a", 1)
+	withTestZone(t, func(t *testing.T, z *testZone) {
+		z.start("keeper", 1)
+		a := z.start("a", 1)
 		for i := range 23 {
 			name := strconv.Itoa(i)
-			_, err := heldHere{a.targets}.Announce(job.Target{ID: job.TargetID(name), Pool: "p", Address: "10.0.0.1:1" + name, Zone: "z"})
+			_, err := localTargets{a.targets}.Announce(job.Target{ID: job.TargetID(name), Pool: "p", Address: "10.0.0.1:1" + name, Zone: "z"})
 			qt.Assert(t, err, qt.IsNil)
 		}
-		a.tell(t.Context())
-		z.begin("b", 2)
-		a = z.begin("a", 2)
+		a.report(t.Context())
+		z.start("b", 2)
+		a = z.start("a", 2)
 		a.recall(t.Context())
 		a.targets.rebalance()
-		qt.Assert(t, a.targets.leaving, qt.HasLen, 0)
+		qt.Assert(t, a.targets.transfers, qt.HasLen, 0)
 		qt.Assert(t, a.targets.registry.Held(), qt.HasLen, 23)
 	})
 }
@@ -200,17 +200,17 @@
 // come to the holder that has it or takes it again; chosen anew it would change hands twice,
 // and what runs there be stopped.
 func TestAnnouncementsFindTheHolderThatIsRemembered(t *testing.T) {
-	inZone(t, func(t *testing.T, z *zoneOf) {
-		keeper, a := z.begin("keeper", 1), z.begin("a", 1)
+	withTestZone(t, func(t *testing.T, z *testZone) {
+		keeper, a := z.start("keeper", 1), z.start("a", 1)
 		ids := []job.TargetID{"t1", "t2", "t3", "t4", "t5", "t6"}
 		z.hold(a, ids...)
-		a.tell(t.Context())
-		z.write(keeper)
+		a.report(t.Context())
+		z.save(keeper)
 
-		keeper, a = z.begin("keeper", 2), z.begin("a", 2)
-		b := z.begin("b", 2)
+		keeper, a = z.start("keeper", 2), z.start("a", 2)
+		b := z.start("b", 2)
 		for _, x := range []*targetInventory{keeper, a, b} {
-			x.targets.forward = forwarding(x)
+			x.targets.forward = newForwarder(x)
 		}
 		for _, from := range []*targetInventory{keeper, b} {
 			for _, id := range ids {
@@ -220,8 +220,8 @@
 				qt.Assert(t, at, qt.Equals, job.EntryID("a"), qt.Commentf("%s through %s", id, from.self.Entry))
 			}
 		}
-		qt.Assert(t, held(a), qt.DeepEquals, ids)
-		qt.Assert(t, held(b), qt.HasLen, 0)
+		qt.Assert(t, heldIDs(a), qt.DeepEquals, ids)
+		qt.Assert(t, heldIDs(b), qt.HasLen, 0)
 	})
 }
 
@@ -229,24 +229,24 @@
 // it. That one must not take it back: the two would go on so, and each stop what the other
 // has started.
 func TestALostTargetIsNotTakenBack(t *testing.T) {
-	inZone(t, func(t *testing.T, z *zoneOf) {
-		keeper, a, b := z.begin("keeper", 1), z.begin("a", 1), z.begin("b", 1)
+	withTestZone(t, func(t *testing.T, z *testZone) {
+		keeper, a, b := z.start("keeper", 1), z.start("a", 1), z.start("b", 1)
 		for _, x := range []*targetInventory{keeper, a, b} {
-			x.targets.forward = forwarding(x)
+			x.targets.forward = newForwarder(x)
 		}
-		time.Sleep(2 * settledAfter)
+		time.Sleep(2 * holderDiscoveryTime)
 		for _, loser := range []*targetInventory{a, b} {
 			winner := map[*targetInventory]*targetInventory{a: b, b: a}[loser]
 			id := job.TargetID("of-" + string(loser.self.Entry))
 			z.hold(loser, id)
-			loser.tell(t.Context())
+			loser.report(t.Context())
 			z.hold(winner, id)
 			loser.targets.yield(id)
-			winner.tell(t.Context())
+			winner.report(t.Context())
 			_, at, err := loser.targets.forward.ForwardTarget(t.Context(), job.Target{ID: id, Pool: "p", Address: "10.0.0.1:1", Zone: "z"})
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, at, qt.Equals, winner.self.Entry)
-			winner.targets.drop(id)
+			winner.targets.removeEnded(id)
 		}
 	})
 }
--- a/internal/entry/keep.go
+++ b/internal/entry/keep.go
@@ -18,7 +18,7 @@
 // submissionsDir is the folder of kept submissions in the data folder.
 const submissionsDir = "submissions"
 
-// openKeeper opens this entry's keeper, with a log where there is a disk.
+// openKeeper opens this entry's keeper, with a log if there is a disk.
 func (e *Entry) openKeeper() error {
 	var log *storage.SubmissionLog
 	if dir := e.opts.Settings.DataDir; dir != "" {
@@ -37,24 +37,24 @@
 	return nil
 }
 
-// chooseKeeper returns the keeper for a submission: this entry's own disk, or
-// an entry of this zone, or one of another.
-func (e *Entry) chooseKeeper(way job.Keep, id job.ID) (pipeline.Acceptor, bool) {
-	synced := way == job.KeepSynced
+// chooseKeeper returns the keeper for a submission: this entry's own disk, else an
+// entry of this zone, else an entry of another zone.
+func (e *Entry) chooseKeeper(mode job.Keep, id job.ID) (pipeline.Acceptor, bool) {
+	synced := mode == job.KeepSynced
 	if synced && e.keeper.HasDisk() {
 		return e.keeper, true
 	}
 	view := e.members.View()
-	candidates := e.keepersAt(&view, synced)
+	candidates := e.rankKeepers(&view, synced)
 	if len(candidates) == 0 {
 		return nil, false
 	}
 	return &keep.Remote{Mesh: e.links, Entry: candidates[0], Synced: synced}, true
 }
 
-// keepersAt returns the entries that could keep a submission, best first: alive
-// before under suspicion, this zone before others.
-func (e *Entry) keepersAt(view *membership.Members, synced bool) []job.EntryID {
+// rankKeepers returns the entries that could keep a submission, best first: alive
+// before suspected, this zone before others.
+func (e *Entry) rankKeepers(view *membership.Members, synced bool) []job.EntryID {
 	disks := e.voters()
 	var members []membership.Member
 	for _, m := range view.List {
@@ -63,7 +63,7 @@
 		}
 		members = append(members, m)
 	}
-	cost := func(m membership.Member) int {
+	rank := func(m membership.Member) int {
 		c := 0
 		if m.State != membership.Alive {
 			c += 2
@@ -73,7 +73,7 @@
 		}
 		return c
 	}
-	slices.SortStableFunc(members, func(a, b membership.Member) int { return cost(a) - cost(b) })
+	slices.SortStableFunc(members, func(a, b membership.Member) int { return rank(a) - rank(b) })
 	var out []job.EntryID
 	for _, m := range members {
 		out = append(out, m.Entry)
@@ -81,14 +81,15 @@
 	return out
 }
 
-// driveEvery is how often kept submissions without a living owner are looked
-// for. It adds at most this to the seconds in which an entry is called dead.
-const driveEvery = time.Second
+// orphanInterval is how often the entry checks for kept submissions without a live
+// owner. It is the longest delay added to the seconds that it takes to detect a dead
+// entry.
+const orphanInterval = time.Second
 
-// driveOn finishes kept submissions whose owner's life has ended, until ctx
-// ends.
-func (e *Entry) driveOn(ctx context.Context) error {
-	return every(ctx, driveEvery, func(time.Time) {
+// watchOrphans finishes kept submissions whose owner's incarnation has ended, until
+// ctx ends.
+func (e *Entry) watchOrphans(ctx context.Context) error {
+	return every(ctx, orphanInterval, func(time.Time) {
 		if e.config.Current() != nil && !e.check.Draining() {
 			e.driveOrphans(ctx)
 		}
@@ -97,43 +98,43 @@
 
 func (e *Entry) driveOrphans(ctx context.Context) {
 	view := e.members.View()
-	gone := func(owner job.Owner) bool { return e.lifeOver(&view, owner) }
+	gone := func(owner job.Owner) bool { return e.incarnationEnded(&view, owner) }
 	for _, kept := range e.keeper.Open(gone) {
 		e.keeper.Adopt(kept.Submission.ID, e.self)
 		go e.drive(ctx, kept)
 	}
 }
 
-// drive finishes one kept submission: its results are fetched from the holders
-// that still have them, and tasks that were never granted start.
+// drive finishes one kept submission: it fetches results from the holders that still
+// have them, and starts the tasks that were never granted.
 func (e *Entry) drive(ctx context.Context, kept keep.Kept) {
 	f := &pipeline.Flow{Submission: &kept.Submission, Resumed: true, Journal: e.keeper, Started: map[int]bool{}}
 	for _, task := range kept.Granted {
 		f.Started[task] = true
 	}
-	f.Held = e.collect(ctx, kept.Owner, kept.Submission.ID, kept.Granted, e.fetch(ctx, kept.Owner, kept.Submission.ID))
-	e.log.Info("a kept submission is driven on", "submission", kept.Submission.ID, "lost_owner", kept.Owner.Entry, "started", len(f.Started), "results", len(f.Held))
-	for ctx.Err() == nil && joinedACaller(e.chain(ctx, f)) {
-		time.Sleep(collectEvery)
+	f.Held = e.collectResults(ctx, kept.Owner, kept.Submission.ID, kept.Granted, e.fetchResults(ctx, kept.Owner, kept.Submission.ID))
+	e.log.Info("resuming a kept submission", "submission", kept.Submission.ID, "lost_owner", kept.Owner.Entry, "started", len(f.Started), "results", len(f.Held))
+	for ctx.Err() == nil && joinedCallerAttempt(e.chain(ctx, f)) {
+		time.Sleep(collectInterval)
 	}
 }
 
-// joinedACaller reports whether a driven submission met a caller's own attempt
-// on its way through this entry and was given that one's answer, "its owner is
-// lost", in place of being driven. Left at that, nobody would drive it any more
-// and its callers would be sent away for ever.
-func joinedACaller(a job.Answer) bool {
+// joinedCallerAttempt reports whether a driven submission was joined to a caller's own
+// attempt in this entry and received the answer of that attempt, "its owner is lost".
+// It was not driven then, so the caller of this function must try again. Otherwise no
+// entry would drive the submission, and its callers would be refused forever.
+func joinedCallerAttempt(a job.Answer) bool {
 	return a.Outcome == job.Refused && a.Reason == job.OwnerLost
 }
 
-// Tasks of a lost owner may still run at holders. Their results are asked for
-// until all are there, for as long as all but the longest tasks take.
+// Tasks of a lost owner may still run at holders. Their results are polled until all
+// have arrived, for as long as all but the longest tasks take.
 const (
-	collectEvery = 250 * time.Millisecond
-	collectBound = 10 * time.Second
+	collectInterval = 250 * time.Millisecond
+	collectTimeout  = 10 * time.Second
 )
 
-func covers(held []job.TaskOutcome, tasks []int) bool {
+func coversAll(held []job.TaskOutcome, tasks []int) bool {
 	have := map[int]bool{}
 	for i := range held {
 		have[held[i].Index] = true
@@ -146,10 +147,10 @@
 	return true
 }
 
-// lifeOver reports whether an owner's life has ended: an earlier life of this
-// entry, or one that the view calls over. Also a life of which this entry has
-// heard nothing counts once the entry is called dead.
-func (e *Entry) lifeOver(view *membership.Members, owner job.Owner) bool {
+// incarnationEnded reports whether an owner's incarnation has ended: it is an earlier
+// incarnation of this entry, or has ended according to the view. An incarnation of which
+// this entry has received nothing also counts as ended once its entry is considered dead.
+func (e *Entry) incarnationEnded(view *membership.Members, owner job.Owner) bool {
 	if owner.Entry == e.self.Entry {
 		return owner.Incarnation != e.self.Incarnation
 	}
@@ -160,9 +161,9 @@
 	return m.State == membership.Dead || m.State == membership.Left
 }
 
-// fetch collects the results of a lost owner's submission from all holders in
-// reach.
-func (e *Entry) fetch(ctx context.Context, owner job.Owner, id job.ID) []job.TaskOutcome {
+// fetchResults fetches the results of a lost owner's submission from all reachable
+// holders.
+func (e *Entry) fetchResults(ctx context.Context, owner job.Owner, id job.ID) []job.TaskOutcome {
 	view := e.members.View()
 	var from []job.EntryID
 	for _, m := range view.List {
@@ -170,5 +171,5 @@
 			from = append(from, m.Entry)
 		}
 	}
-	return append(e.served.Held(owner, id), e.remote.Fetch(ctx, from, owner, id)...)
+	return append(e.handoverServer.Held(owner, id), e.remote.Fetch(ctx, from, owner, id)...)
 }
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -8,9 +8,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/runs"
 )
 
-// connect returns the way to targets that run tasks under a lease; nil where
-// targets answer each task by itself.
-func (e *Entry) connect() func(job.Target) holder.Connection {
+// connector returns a function that connects to targets that run tasks under a lease. It
+// returns nil if targets answer each task by itself.
+func (e *Entry) connector() func(job.Target) holder.Connection {
 	if e.opts.Orders == nil {
 		return nil
 	}
@@ -21,7 +21,7 @@
 			Target:  t.ID,
 			Salt:    salt,
 			Lease:   e.opts.Lease,
-			Gone:    func() { e.targets.drop(t.ID) },
+			Gone:    func() { e.targets.removeEnded(t.ID) },
 			Yielded: func() { e.targets.yield(t.ID) },
 			Ended:   func() { e.holder.TargetEnded(t.ID) },
 			Events:  e.events,
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -29,22 +29,22 @@
 		net := &peertest.Network{Delay: time.Millisecond}
 		mesh := net.Join(job.Owner{Entry: "a", Incarnation: 1, Zone: "z"})
 		other := net.Join(job.Owner{Entry: "b", Incarnation: 1, Zone: "y"})
-		told := atomic.Int64{}
+		notified := atomic.Int64{}
 		other.Handle(peer.TargetWithdraw, func(context.Context, job.Owner, cbor.RawMessage) (any, error) {
-			told.Add(1)
+			notified.Add(1)
 			return true, nil
 		})
 		ts := &targets{
 			self: mesh.Self(), mesh: mesh, exclusive: true, events: timeline.Discard{}, log: slog.New(slog.DiscardHandler),
-			config:   config.Fixed{},
-			registry: target.NewRegistry("z", config.Fixed{}),
-			holder:   holder.New(holder.Options{Config: config.Fixed{}, Client: target.NewClient(target.ClientOptions{})}),
-			members:  membership.New(membership.Options{Mesh: mesh, Peers: []membership.Peer{{Entry: "b", Zone: "y"}}}),
-			passed:   map[job.TargetID]passedOn{}, leaving: map[job.TargetID]job.EntryID{},
+			config:        config.Fixed{},
+			registry:      target.NewRegistry("z", config.Fixed{}),
+			holder:        holder.New(holder.Options{Config: config.Fixed{}, Client: target.NewClient(target.ClientOptions{})}),
+			members:       membership.New(membership.Options{Mesh: mesh, Peers: []membership.Peer{{Entry: "b", Zone: "y"}}}),
+			announcements: map[job.TargetID]announcement{}, transfers: map[job.TargetID]job.EntryID{},
 		}
 		leaving := &job.Target{ID: "i-1", Pool: "p", Address: "10.0.0.1:80", Zone: "y"}
 		qt.Assert(t, ts.Leaving(t.Context(), leaving), qt.IsNil)
-		qt.Assert(t, told.Load(), qt.Equals, int64(1))
+		qt.Assert(t, notified.Load(), qt.Equals, int64(1))
 		net.CutBoth("a", "b", true)
 		qt.Assert(t, ts.Leaving(t.Context(), leaving), qt.IsNotNil)
 		elsewhere := &job.Target{ID: "i-2", Pool: "p", Address: "10.0.0.2:80", Zone: "z"}
--- a/internal/entry/listeners.go
+++ b/internal/entry/listeners.go
@@ -6,8 +6,8 @@
 	"github.com/juju/errors"
 )
 
-// Listeners are sockets that are open already; nil ones are opened from the
-// settings. Tests and the demo open them first to learn their ports.
+// Listeners are sockets that are already open; nil ones are opened from the
+// settings. Tests and the demo open them first to know their ports.
 type Listeners struct {
 	Caller, Peer, Operator net.Listener
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -9,38 +9,38 @@
 	"github.com/vanillagrade/vanillagrade/internal/status"
 )
 
-// lives remembers the last life that was seen of each entry, so that the end
-// of one is noticed also when the next has begun already.
-type lives map[job.EntryID]job.Owner
+// lastIncarnations records the last incarnation seen of each entry, so that the end
+// of an incarnation is noticed even if the next one has already started.
+type lastIncarnations map[job.EntryID]job.Owner
 
-// assembleMembership joins the membership with what heartbeats carry.
+// assembleMembership creates the membership and connects it to the data that heartbeats carry.
 func (e *Entry) assembleMembership() {
 	var peers []membership.Peer
 	for _, p := range e.opts.Settings.Others() {
 		peers = append(peers, membership.Peer{Entry: p.Entry, Zone: p.Zone})
 	}
-	e.lives = lives{}
+	e.lastIncarnations = lastIncarnations{}
 	var across membership.Timings
 	if e.opts.Settings.Discover {
-		across = sharedWork
+		across = crossZoneTimings
 	}
 	defer func() {
 		if e.opts.Settings.Discover {
 			e.members.Add(membership.Peer{Entry: e.self.Entry, Zone: e.self.Zone, Reserve: e.opts.Settings.DataDir != "", Carries: assign.Carries(e.opts.Settings.Processors, e.opts.Settings.LinkMbps)})
 		}
 	}()
-	var proved func(job.Owner, time.Time)
-	var speaks func(job.EntryID) bool
-	var compare func(job.EntryID)
+	var recordProof func(job.Owner, time.Time)
+	var mayProve func(job.EntryID) bool
+	var exchange func(job.EntryID)
 	if e.opts.Settings.Discover {
 		e.rights = newRights(e)
-		proved, speaks = e.rights.proved, e.speaks
-		compare = e.compareWith
+		recordProof, mayProve = e.rights.recordProof, e.mayProve
+		exchange = e.exchangeRecords
 	}
 	e.members = membership.New(membership.Options{
 		Now:     e.awake.Now,
-		Proved:  proved,
-		Speaks:  speaks,
+		Proved:  recordProof,
+		Speaks:  mayProve,
 		Mesh:    e.links,
 		Peers:   peers,
 		Across:  across,
@@ -51,15 +51,15 @@
 		Refused: e.links.Refused,
 		Busy:    e.sharesWorkWith,
 		Stand:   e.links.Stand,
-		Loaded:  e.takeLoads,
-		Compare: compare,
+		Loaded:  e.recordLoads,
+		Compare: exchange,
 	})
 }
 
-// takeLoads takes in the loads that another entry has told.
-func (e *Entry) takeLoads(loads []membership.Load) {
+// recordLoads records the loads that another entry has reported.
+func (e *Entry) recordLoads(loads []membership.Load) {
 	if e.holders != nil {
-		e.holders.takeIn(time.Now(), loads)
+		e.holders.recordLoads(time.Now(), loads)
 	}
 }
 
@@ -67,7 +67,7 @@
 // this one holds.
 func (e *Entry) sharesWorkWith() []job.EntryID {
 	if e.remote == nil {
-		return nil // it is being assembled
+		return nil // the entry is still being assembled
 	}
 	out := e.remote.Holders()
 	for _, owner := range e.holder.Owners() {
@@ -76,35 +76,35 @@
 	return out
 }
 
-// setView acts on a new view of the entries. Membership calls it from one
+// setView reacts to a new view of the entries. Membership calls it from one
 // goroutine.
 func (e *Entry) setView(view membership.Members) {
 	e.holders.setView(view)
 	e.targets.setView(view)
-	e.dropTheDead(view)
+	e.dropEndedOwners(view)
 	if file := e.config.Current(); file != nil {
 		e.admit.Configure(file, e.quotaShare())
 	}
 }
 
-// dropTheDead gives back the queued tasks of owners whose life has ended:
-// nobody can receive their results, so they would only take slots from others.
-// What runs goes on, since whoever takes the submission over may fetch it.
-func (e *Entry) dropTheDead(view membership.Members) {
+// dropEndedOwners drops the queued tasks of owners whose incarnation has ended: nobody
+// can receive their results, so they would only take slots from others. Running tasks
+// continue, since an entry that takes the submission over may fetch their results.
+func (e *Entry) dropEndedOwners(view membership.Members) {
 	for _, m := range view.List {
-		last, known := e.lives[m.Entry]
+		last, known := e.lastIncarnations[m.Entry]
 		if known && view.Gone(m.Entry, last.Incarnation) {
 			e.holder.Drop(last)
-			delete(e.lives, m.Entry)
+			delete(e.lastIncarnations, m.Entry)
 		}
 		if m.Live() && m.Incarnation != 0 && m.Entry != e.self.Entry {
-			e.lives[m.Entry] = m.Owner()
+			e.lastIncarnations[m.Entry] = m.Owner()
 		}
 	}
 }
 
-// quotaShare is the part of each team's quota that this entry gives out: the
-// balancer spreads callers over all entries that serve.
+// quotaShare is the fraction of each team's quota that this entry grants: the
+// balancer spreads callers over all serving entries.
 func (e *Entry) quotaShare() float64 {
 	view := e.members.View()
 	serving := 0
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -30,7 +30,7 @@
 	for _, p := range e.opts.Settings.Others() {
 		names = append(names, p.Entry)
 	}
-	return append(names, e.foundNames()...)
+	return append(names, e.discoveredNames()...)
 }
 
 // Drain begins a planned stop, as SIGTERM does.
@@ -47,7 +47,7 @@
 	return info.Main.Version
 }
 
-// sources is where this entry's status comes from.
+// sources returns the sources of this entry's status.
 func (e *Entry) sources() *status.Sources {
 	return &status.Sources{
 		Self:            e.self,
@@ -111,7 +111,7 @@
 	return m
 }
 
-// traffic returns what this entry sent to others, by kind.
+// traffic returns the messages and bytes that this entry sent to others, by kind.
 func (e *Entry) traffic() []status.Traffic {
 	var sent []status.Traffic
 	for _, k := range e.links.Stats() {
@@ -120,7 +120,7 @@
 	return sent
 }
 
-// stopContext ends with ctx or with a drain.
+// stopContext returns a context that ends with ctx or when a drain is requested.
 func (e *Entry) stopContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
--- a/internal/entry/pause_again_test.go
+++ b/internal/entry/pause_again_test.go
@@ -16,15 +16,15 @@
 // twice.
 func TestRequestsFromBeforeAPauseAreRefusedAfterTheNextOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPausable(t)
+		p := newPausableEntry(t)
 		defer p.close()
 		time.Sleep(time.Second)
-		p.standStill(3 * time.Second)
+		p.pause(3 * time.Second)
 		time.Sleep(100 * time.Millisecond)
-		_, fresh := p.entry.rights.own(0)
+		_, fresh := p.entry.rights.ownRight(0)
 		qt.Check(t, fresh, qt.IsFalse)
-		p.standStill(800 * time.Millisecond)
-		_, fresh = p.entry.rights.own(0)
+		p.pause(800 * time.Millisecond)
+		_, fresh = p.entry.rights.ownRight(0)
 		qt.Check(t, fresh, qt.IsFalse)
 	})
 }
@@ -36,13 +36,13 @@
 // run.
 func TestAnOldOfferIsRefusedThoughItsOwnerIsHeardAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPausable(t)
+		p := newPausableEntry(t)
 		defer p.close()
 		time.Sleep(time.Second)
 		life := job.Owner{Entry: "o", Incarnation: 1, Zone: "y"}
 		old := p.entry.rights.Reading()
 		qt.Check(t, p.entry.rights.Right(life, old, 0), qt.Not(qt.IsNil))
-		p.standStill(3 * time.Second)
+		p.pause(3 * time.Second)
 		p.net.SetDelay(time.Millisecond)
 		time.Sleep(5 * time.Second)
 		fresh := p.entry.rights.Reading()
@@ -57,13 +57,13 @@
 // the first pause, has had the job run elsewhere for 0.4 s: it pays for two runs.
 func TestRequestsFromBeforeTwoShortPausesAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPausable(t)
+		p := newPausableEntry(t)
 		defer p.close()
 		time.Sleep(time.Second)
-		p.standStill(900 * time.Millisecond)
+		p.pause(900 * time.Millisecond)
 		time.Sleep(60 * time.Millisecond)
-		p.standStill(800 * time.Millisecond)
-		_, fresh := p.entry.rights.own(0)
+		p.pause(800 * time.Millisecond)
+		_, fresh := p.entry.rights.ownRight(0)
 		qt.Check(t, fresh, qt.IsFalse)
 	})
 }
--- a/internal/entry/pause_test.go
+++ b/internal/entry/pause_test.go
@@ -45,85 +45,85 @@
 // pausable are the parts of an entry that hold work, beside another entry that owns
 // some of it. The entry can be made to stand still: nothing of it acts, and what is sent
 // to it meanwhile arrives when it goes on.
-type pausable struct {
-	t     *testing.T
-	ctx   context.Context
-	net   *peertest.Network
-	entry *Entry
-	conn  *slowConn
-	owner *handover.Remote
-	life  job.Owner
-	rest  context.CancelFunc
-	leave context.CancelFunc
+type pausableEntry struct {
+	t         *testing.T
+	ctx       context.Context
+	net       *peertest.Network
+	entry     *Entry
+	conn      *slowConn
+	owner     *handover.Remote
+	self      job.Owner
+	stopEntry context.CancelFunc
+	cancel    context.CancelFunc
 }
 
-func newPausable(t *testing.T) *pausable {
-	p := &pausable{
+func newPausableEntry(t *testing.T) *pausableEntry {
+	p := &pausableEntry{
 		t: t, net: &peertest.Network{Delay: time.Millisecond},
 		conn: &slowConn{ends: make(chan target.Result)},
 	}
-	p.ctx, p.leave = context.WithCancel(t.Context())
-	p.life = job.Owner{Entry: "h", Incarnation: 1, Zone: "z"}
-	mesh := p.net.Join(p.life)
+	p.ctx, p.cancel = context.WithCancel(t.Context())
+	p.self = job.Owner{Entry: "h", Incarnation: 1, Zone: "z"}
+	mesh := p.net.Join(p.self)
 	other := p.net.Join(job.Owner{Entry: "o", Incarnation: 1, Zone: "y"})
 	p.entry = p.assemble(mesh)
-	theirs := membership.New(membership.Options{Mesh: other, Peers: []membership.Peer{{Entry: "h", Zone: "z"}}, Across: sharedWork})
-	p.owner = handover.NewRemote(handover.RemoteOptions{Mesh: other, Silent: theirs.Silent, Proof: theirs.Last, Learn: theirs.Learn})
-	go func() { _ = theirs.Run(p.ctx) }()
-	p.goOn()
+	otherMembers := membership.New(membership.Options{Mesh: other, Peers: []membership.Peer{{Entry: "h", Zone: "z"}}, Across: crossZoneTimings})
+	p.owner = handover.NewRemote(handover.RemoteOptions{Mesh: other, Silent: otherMembers.Silent, Proof: otherMembers.Last, Learn: otherMembers.Learn})
+	go func() { _ = otherMembers.Run(p.ctx) }()
+	p.resume()
 	p.entry.holder.SetTarget(job.Target{ID: "t", Pool: "p", Zone: "z", Slots: 1, Connections: 1})
 	time.Sleep(time.Second)
 	return p
 }
 
 // assemble joins the parts as an entry does.
-func (p *pausable) assemble(mesh *peertest.Node) *Entry {
-	e := &Entry{self: p.life, log: discard(), events: timeline.Discard{}}
-	e.holder = holder.New(holder.Options{Self: p.life, Config: config.Fixed{}, Connect: func(job.Target) holder.Connection { return p.conn }})
+func (p *pausableEntry) assemble(mesh *peertest.Node) *Entry {
+	e := &Entry{self: p.self, log: discardLogger(), events: timeline.Discard{}}
+	e.holder = holder.New(holder.Options{Self: p.self, Config: config.Fixed{}, Connect: func(job.Target) holder.Connection { return p.conn }})
 	e.rights = newRights(e)
-	e.members = membership.New(membership.Options{Mesh: mesh, Peers: []membership.Peer{{Entry: "o", Zone: "y"}}, Across: sharedWork, Proved: e.rights.proved})
-	e.served = handover.Serve(mesh, e.holder)
-	e.served.OnOffer(e.members.Touch)
-	e.served.NeedRights(e.rights)
+	e.members = membership.New(membership.Options{Mesh: mesh, Peers: []membership.Peer{{Entry: "o", Zone: "y"}}, Across: crossZoneTimings, Proved: e.rights.recordProof})
+	e.handoverServer = handover.Serve(mesh, e.holder)
+	e.handoverServer.OnOffer(e.members.Touch)
+	e.handoverServer.NeedRights(e.rights)
 	return e
 }
 
 // goOn has the entry run again.
-func (p *pausable) goOn() {
+func (p *pausableEntry) resume() {
 	p.net.SetDelay(time.Millisecond)
 	ctx, cancel := context.WithCancel(p.ctx)
-	p.rest = cancel
+	p.stopEntry = cancel
 	go func() { _ = p.entry.members.Run(ctx) }()
 	go func() { _ = p.entry.watchOwners(ctx) }()
 }
 
 // standStill has it stand still for some time and go on. The messages that came
 // meanwhile are read before any of its timers is served: either may come first.
-func (p *pausable) standStill(d time.Duration) {
-	p.rest()
+func (p *pausableEntry) pause(d time.Duration) {
+	p.stopEntry()
 	p.net.SetDelay(d)
 	time.Sleep(d)
 	time.Sleep(time.Millisecond)
 	synctest.Wait()
-	p.goOn()
+	p.resume()
 }
 
 // batch is a job of two tasks, of which the target can run one at a time.
-func (p *pausable) batch(id job.ID, owner job.Owner) *job.Batch {
+func (p *pausableEntry) batch(id job.ID, owner job.Owner) *job.Batch {
 	return &job.Batch{
 		Owner: owner, Submission: id, Service: "s", Pool: "p", Transient: true, Attempts: 3, Stretch: 8, Slack: time.Minute,
 		Tasks: []job.BatchTask{{Index: 0, TaskSpec: job.TaskSpec{RunMillis: 900}}, {Index: 1, TaskSpec: job.TaskSpec{RunMillis: 900}}},
 	}
 }
 
-func (p *pausable) end(res target.Result) {
+func (p *pausableEntry) endRun(res target.Result) {
 	p.conn.ends <- res
 	synctest.Wait()
 }
 
-func (p *pausable) close() {
-	p.rest()
-	p.leave()
+func (p *pausableEntry) close() {
+	p.stopEntry()
+	p.cancel()
 	p.entry.holder.Close()
 	p.net.Leave("h")
 	p.net.Leave("o")
@@ -131,8 +131,8 @@
 }
 
 var (
-	wellDone = target.Result{Status: job.TaskDone}
-	lapsed   = target.Result{Status: job.TaskErred, Reason: job.TargetLost, Over: true}
+	doneResult   = target.Result{Status: job.TaskDone}
+	leaseExpired = target.Result{Status: job.TaskErred, Reason: job.TargetLost, Over: true}
 )
 
 // An entry holds a job of another one when it stands still for three seconds. The owner
@@ -141,13 +141,13 @@
 // of life, and start what waits beside the second run: the studio is billed twice.
 func TestWordFromBeforeAPauseStartsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPausable(t)
+		p := newPausableEntry(t)
 		defer p.close()
 		p.owner.Offer(p.ctx, "h", 1, p.batch("a", job.Owner{}), func([]job.TaskOutcome) {})
 		time.Sleep(10 * time.Millisecond)
 		qt.Assert(t, p.conn.starts.Load(), qt.Equals, int64(1))
-		p.standStill(3 * time.Second)
-		p.end(wellDone)
+		p.pause(3 * time.Second)
+		p.endRun(doneResult)
 		time.Sleep(50 * time.Millisecond)
 		qt.Assert(t, p.conn.starts.Load(), qt.Equals, int64(1))
 	})
@@ -159,15 +159,15 @@
 // the task again then is to run it beside the other one.
 func TestOwnWorkFromBeforeAPauseIsNotStartedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPausable(t)
+		p := newPausableEntry(t)
 		defer p.close()
-		own := p.batch("a", p.life)
-		own.Right, _ = p.entry.rights.own(0)
+		own := p.batch("a", p.self)
+		own.Right, _ = p.entry.rights.ownRight(0)
 		p.entry.holder.Offer(own, func([]job.TaskOutcome) {})
 		time.Sleep(10 * time.Millisecond)
 		qt.Assert(t, p.conn.starts.Load(), qt.Equals, int64(1))
-		p.standStill(3 * time.Second)
-		p.end(lapsed)
+		p.pause(3 * time.Second)
+		p.endRun(leaseExpired)
 		time.Sleep(50 * time.Millisecond)
 		qt.Assert(t, p.conn.starts.Load(), qt.Equals, int64(1))
 	})
@@ -176,16 +176,16 @@
 // A short pause, which callers sit out, costs no work.
 func TestWorkGoesOnAfterAShortPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPausable(t)
+		p := newPausableEntry(t)
 		defer p.close()
 		p.owner.Offer(p.ctx, "h", 1, p.batch("a", job.Owner{}), func([]job.TaskOutcome) {})
 		time.Sleep(10 * time.Millisecond)
-		p.standStill(300 * time.Millisecond)
-		p.end(wellDone)
+		p.pause(300 * time.Millisecond)
+		p.endRun(doneResult)
 		time.Sleep(50 * time.Millisecond)
 		qt.Assert(t, p.conn.starts.Load(), qt.Equals, int64(2))
-		p.end(wellDone)
+		p.endRun(doneResult)
 	})
 }
 
-func discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
--- a/internal/entry/recall.go
+++ b/internal/entry/recall.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// recallEvery is how often a new life looks for further entries to ask, recallFor for
-	// how long: by then the targets have announced themselves.
-	recallEvery = 25 * time.Millisecond
-	recallFor   = 2 * time.Second
-	// gatherFor is how long the first answer waits for a later word from elsewhere: a
-	// crossing both ways, and the pause of a busy VM.
-	gatherFor = 40 * time.Millisecond
+	// recallInterval is how often a new incarnation checks for further entries to query.
+	// recallTimeout bounds the whole query: by then the targets have announced themselves.
+	recallInterval = 25 * time.Millisecond
+	recallTimeout  = 2 * time.Second
+	// gatherTime is how long to wait, after the first answer, for a more recent one from
+	// another entry: a round trip to another zone, plus a scheduling pause of a busy VM.
+	gatherTime = 40 * time.Millisecond
 )
 
-// recall takes the targets again that the last life of this entry held, and tells all
-// entries of them at once.
+// recall reclaims the targets that the previous incarnation of this entry held, and notifies
+// all entries of them at once.
 func (v *targetInventory) recall(ctx context.Context) {
 	begun := time.Now()
-	held, answers := v.askWhatWasHeld(ctx)
+	held, answers := v.queryLastHeld(ctx)
 	if len(held.Targets) == 0 {
 		return
 	}
-	taken := v.takeAgain(held.Targets)
-	v.log.Info("targets of the last life taken again",
+	taken := v.reclaim(held.Targets)
+	v.log.Info("targets of the previous incarnation reclaimed",
 		"targets", taken, "remembered", len(held.Targets), "life", held.Life, "word", held.Number,
 		"answers", answers, "after_ms", time.Since(begun).Milliseconds())
 	if taken > 0 {
@@ -37,25 +37,26 @@
 	}
 }
 
-// askWhatWasHeld asks each entry with a disk as it is found, and returns the latest word.
-func (v *targetInventory) askWhatWasHeld(ctx context.Context) (last inventory.Held, answers int) {
-	ctx, cancel := context.WithTimeout(ctx, recallFor)
+// queryLastHeld queries each entry with a disk once it is discovered, and returns the most
+// recent report.
+func (v *targetInventory) queryLastHeld(ctx context.Context) (last inventory.Held, answers int) {
+	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
-	found := make(chan inventory.Held)
-	asked := &asked{by: map[job.EntryID]bool{}}
-	tick := time.NewTicker(recallEvery)
+	replies := make(chan inventory.Held)
+	queried := &querySet{entries: map[job.EntryID]bool{}}
+	tick := time.NewTicker(recallInterval)
 	defer tick.Stop()
 	var gathered <-chan time.Time
 	for {
-		v.askKeepers(ctx, asked, found)
+		v.queryKeepers(ctx, queried, replies)
 		select {
-		case h := <-found:
+		case h := <-replies:
 			answers++
 			if answers == 1 || h.After(&last) {
 				last = h
 			}
 			if gathered == nil {
-				gathered = time.After(gatherFor)
+				gathered = time.After(gatherTime)
 			}
 		case <-tick.C:
 		case <-gathered:
@@ -66,45 +67,45 @@
 	}
 }
 
-// asked is who was asked what this entry held.
-type asked struct {
-	mu sync.Mutex
-	by map[job.EntryID]bool
+// querySet is the set of entries that have been queried for the targets of this entry.
+type querySet struct {
+	mu      sync.Mutex
+	entries map[job.EntryID]bool
 }
 
-// begin reports whether an entry is to be asked now.
-func (a *asked) begin(entry job.EntryID) bool {
+// add reports whether an entry is to be queried now, and adds it to the set.
+func (a *querySet) add(entry job.EntryID) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.by[entry] {
+	if a.entries[entry] {
 		return false
 	}
-	a.by[entry] = true
+	a.entries[entry] = true
 	return true
 }
 
-// again has an entry asked again that could not answer.
-func (a *asked) again(entry job.EntryID) {
+// remove makes an entry that could not answer be queried again.
+func (a *querySet) remove(entry job.EntryID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.by, entry)
+	delete(a.entries, entry)
 }
 
-// askKeepers asks those who were found since.
-func (v *targetInventory) askKeepers(ctx context.Context, a *asked, found chan<- inventory.Held) {
+// queryKeepers queries the keepers that were discovered since the last call.
+func (v *targetInventory) queryKeepers(ctx context.Context, queried *querySet, replies chan<- inventory.Held) {
 	view := v.members.View()
 	for _, m := range view.List {
-		if !m.Reserve || m.Zone != v.self.Zone || !a.begin(m.Entry) {
+		if !m.Reserve || m.Zone != v.self.Zone || !queried.add(m.Entry) {
 			continue
 		}
 		go func() {
-			r, err := v.askOne(ctx, m.Entry)
+			r, err := v.queryKeeper(ctx, m.Entry)
 			switch {
 			case err != nil || r.Later:
-				a.again(m.Entry)
+				queried.remove(m.Entry)
 			case r.Known:
 				select {
-				case found <- r.Held:
+				case replies <- r.Held:
 				case <-ctx.Done():
 				}
 			}
@@ -112,55 +113,56 @@
 	}
 }
 
-func (v *targetInventory) askOne(ctx context.Context, keeper job.EntryID) (r recollection, err error) {
+func (v *targetInventory) queryKeeper(ctx context.Context, keeper job.EntryID) (r recallReply, err error) {
 	if keeper == v.self.Entry {
-		return v.remembered(keeper), nil
+		return v.lastHeldBy(keeper), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellTime)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	err = v.mesh.Call(ctx, keeper, peer.TargetsRecall, true, &r)
 	return r, err
 }
 
-// takeAgain takes those targets that are still the same and that nobody else has taken, and
-// returns how many. They are asked one after the other: an entry is short of processor time
-// in its first moments, and each target that it takes brings work. Taken all at once, starts
-// would go unanswered for want of processor time, be sent again, and leave even less.
-func (v *targetInventory) takeAgain(list []job.Target) int {
+// reclaim reclaims the targets that are still the same and that no other entry has taken, and
+// returns their number. It queries them one after the other: an entry is short of processor
+// time just after its start, and each reclaimed target brings work. If all were reclaimed at
+// once, starts would go unanswered for lack of processor time, and resending them would use
+// even more of it.
+func (v *targetInventory) reclaim(list []job.Target) int {
 	pending := map[job.TargetID]bool{}
 	for i := range list {
 		pending[list[i].ID] = true
 	}
-	v.recalling.Store(&pending)
-	v.again.Store(true)
-	defer v.recalling.Store(nil)
+	v.pending.Store(&pending)
+	v.reclaimed.Store(true)
+	defer v.pending.Store(nil)
 	taken := 0
 	for i := range list {
-		if v.targets.takeAgain(list[i]) {
+		if v.targets.reclaim(list[i]) {
 			taken++
 		}
 	}
 	return taken
 }
 
-// isRecalling reports whether a target is being asked whether it is still the same.
-func (v *targetInventory) isRecalling(id job.TargetID) bool {
+// isReclaimPending reports whether a target is being reclaimed.
+func (v *targetInventory) isReclaimPending(id job.TargetID) bool {
 	if v == nil {
 		return false
 	}
-	pending := v.recalling.Load()
+	pending := v.pending.Load()
 	return pending != nil && (*pending)[id]
 }
 
-// takeAgain takes a target of this entry's last life, unless it is another one by now or
-// another entry's.
-func (t *targets) takeAgain(remembered job.Target) bool {
+// reclaim reclaims a target of this entry's previous incarnation, unless another target has
+// replaced it or another entry holds it.
+func (t *targets) reclaim(remembered job.Target) bool {
 	if remembered.Zone != t.self.Zone || t.registry.Holds(remembered.ID) || t.lastHolder(remembered.ID) != "" {
 		return false
 	}
-	if t.checkPool(&remembered) != nil || !t.listens(remembered) {
+	if t.checkPool(&remembered) != nil || !t.isListening(remembered) {
 		return false
 	}
-	_, err := heldHere{t}.Announce(remembered)
+	_, err := localTargets{t}.Announce(remembered)
 	return err == nil
 }
--- a/internal/entry/look.go
+++ b/internal/entry/search.go
@@ -12,23 +12,23 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 )
 
-// searchTime bounds the search for a submission at the other entries.
-const searchTime = 2 * time.Second
+// searchTimeout bounds the search for a submission at the other entries.
+const searchTimeout = 2 * time.Second
 
-// errNotHere is an entry's answer about a submission that it does not have.
-const errNotHere = errors.ConstError("the submission is not here")
+// errUnknownSubmission is an entry's answer to a query for a submission that it does not have.
+const errUnknownSubmission = errors.ConstError("this entry does not have the submission")
 
-// serveSearches lets callers of other entries look for and cancel submissions
-// that this one drives.
+// serveSearches lets callers of other entries query and cancel submissions that
+// this one drives.
 func (e *Entry) serveSearches() {
 	e.links.Handle(peer.SubmissionLook, func(_ context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
 		var id job.ID
 		if err := cbor.Unmarshal(body, &id); err != nil {
 			return nil, errors.Trace(err)
 		}
-		status, ok := e.lookHere(id)
+		status, ok := e.localStatus(id)
 		if !ok {
-			return nil, errNotHere
+			return nil, errUnknownSubmission
 		}
 		return status, nil
 	})
@@ -38,7 +38,7 @@
 			return nil, errors.Trace(err)
 		}
 		if !e.join.CancelOwned(id) {
-			return nil, errNotHere
+			return nil, errUnknownSubmission
 		}
 		return true, nil
 	})
@@ -46,13 +46,13 @@
 
 // Look implements api.Dispatcher.
 func (e *Entry) Look(ctx context.Context, id job.ID) (api.JobStatus, bool) {
-	if status, ok := e.lookHere(id); ok {
+	if status, ok := e.localStatus(id); ok {
 		return status, true
 	}
 	return search[api.JobStatus](ctx, e, peer.SubmissionLook, id)
 }
 
-func (e *Entry) lookHere(id job.ID) (api.JobStatus, bool) {
+func (e *Entry) localStatus(id job.ID) (api.JobStatus, bool) {
 	if e.join.HasOwned(id) {
 		return api.JobStatus{ID: id, State: api.StateRunning, Owner: e.self.Entry}, true
 	}
@@ -69,8 +69,8 @@
 	}, true
 }
 
-// Cancel implements api.Dispatcher: the entry that drives the submission takes
-// it back, whichever entry was asked.
+// Cancel implements api.Dispatcher: the entry that drives the submission cancels it,
+// whichever entry receives the request.
 func (e *Entry) Cancel(ctx context.Context, id job.ID) bool {
 	if e.join.CancelOwned(id) {
 		return true
@@ -79,19 +79,19 @@
 	return ok
 }
 
-// search asks all other live entries side by side. Only a caller that comes to
-// another entry than its job's owner costs these messages.
+// search queries all other live entries in parallel. These messages are sent only for
+// a caller that contacts an entry other than its job's owner.
 func search[T any](ctx context.Context, e *Entry, kind peer.Kind, id job.ID) (T, bool) {
-	ctx, cancel := context.WithTimeout(ctx, searchTime)
+	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
 	view := e.members.View()
 	found := make(chan *T, len(view.List))
-	asked := 0
+	queried := 0
 	for _, m := range view.List {
 		if m.Entry == e.self.Entry || !m.Live() {
 			continue
 		}
-		asked++
+		queried++
 		go func() {
 			var answer T
 			if err := e.links.Call(ctx, m.Entry, kind, id, &answer); err != nil {
@@ -101,11 +101,11 @@
 			found <- &answer
 		}()
 	}
-	for range asked {
+	for range queried {
 		if answer := <-found; answer != nil {
 			return *answer, true
 		}
 	}
-	var none T
-	return none, false
+	var zero T
+	return zero, false
 }
--- a/internal/entry/shared.go
+++ b/internal/entry/shared.go
@@ -10,7 +10,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// assembleShared joins what entries share: links, configuration, time line.
+// assembleShared creates the parts that entries share: links, configuration, timeline.
 func (e *Entry) assembleShared() error {
 	s := &e.opts.Settings
 	var peers []peer.Peer
@@ -21,7 +21,7 @@
 	}
 	links := peer.Options{Self: e.self, Peers: peers, Secret: s.PeerSecret, TrustNetwork: s.TrustNetwork, Clock: e.clock, Log: e.log}
 	if s.Discover {
-		e.discover(&links)
+		e.configureDiscovery(&links)
 	}
 	e.links = peer.New(links)
 	if s.Discover {
@@ -42,7 +42,7 @@
 		Events:  e.events,
 	}
 	if s.Discover {
-		e.discoverVoters(&options)
+		e.configureVoterDiscovery(&options)
 	}
 	e.register = register.New(options)
 	e.config = e.register
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -12,14 +12,14 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// stopAsPlanned waits for ctx and then for all work in progress. The other
-// parts of the entry keep running until it returns.
-func (e *Entry) stopAsPlanned(ctx context.Context) error {
+// drainAndStop waits for ctx and then for all work in progress. The other parts of
+// the entry keep running until it returns.
+func (e *Entry) drainAndStop(ctx context.Context) error {
 	<-ctx.Done()
 	if e.isKilled() {
 		return errKilled
 	}
-	e.leaving.Store(true)
+	e.draining.Store(true)
 	e.members.Drain()
 	e.events.Record(timeline.Event{Kind: timeline.EntryDraining})
 	e.log.Info("entry drains", "submissions", e.join.Running())
@@ -30,7 +30,7 @@
 	var retired sync.WaitGroup
 	retired.Go(func() { e.retireVote() })
 	e.waitForNotice()
-	e.endIntake()
+	e.closeIntake()
 	e.check.Drain()
 	linger := time.NewTimer(e.opts.Linger)
 	defer linger.Stop()
@@ -46,15 +46,17 @@
 	return nil
 }
 
-// retireVote passes this entry's vote on, if it has one and another disk can take it.
+// retireVote transfers this entry's vote, if it has one and another entry with a disk can
+// receive it.
 func (e *Entry) retireVote() {
 	if e.register != nil {
 		e.register.Retire(context.Background())
 	}
 }
 
-// waitForNotice lets the balancer notice that the entry is not ready. What callers
-// send meanwhile is served: refused, it would be lost for a stop that was planned.
+// waitForNotice waits until the balancer has noticed that the entry is not ready. The
+// entry serves submissions in the meantime: refusing them would lose them because of a
+// planned stop.
 func (e *Entry) waitForNotice() {
 	timer := time.NewTimer(e.opts.Notice)
 	defer timer.Stop()
@@ -64,25 +66,25 @@
 	}
 }
 
-// endIntake ends the servers that only take submissions, and returns once their
-// open connections have had the time for a last request.
-func (e *Entry) endIntake() {
-	close(e.intakeOver)
+// closeIntake ends the servers that only accept submissions, and returns once their
+// open connections have had time for a last request.
+func (e *Entry) closeIntake() {
+	close(e.intakeClosed)
 	if e.opts.Notice > 0 {
 		time.Sleep(api.LastRequestTime + intakeMargin)
 	}
 }
 
-// intakeMargin is the time in which a request that came last gets past the check: a
+// intakeMargin is the time that a last request needs to pass the check stage: a
 // scheduling pause of a small VM.
 const intakeMargin = 50 * time.Millisecond
 
-// drainPoll is how often a stopping entry looks whether its last submission
+// drainPollInterval is how often a stopping entry checks whether its last submission
 // has ended; it delays the stop, never an answer.
-const drainPoll = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
 func (e *Entry) waitForSubmissions() {
 	for e.join.Running() > 0 {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 }
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -40,21 +40,21 @@
 	ended := make(chan error, 1)
 	go func() { ended <- e.Run(ctx) }()
 
-	quiet, err := net.Dial("tcp", front.Addr().String())
+	idle, err := net.Dial("tcp", front.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
-	defer quiet.Close()
-	ask := func() (int, error) {
-		_, err := io.WriteString(quiet, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+	defer idle.Close()
+	request := func() (int, error) {
+		_, err := io.WriteString(idle, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 		qt.Assert(t, err, qt.IsNil)
 		buf := make([]byte, 1024)
-		qt.Assert(t, quiet.SetReadDeadline(time.Now().Add(5*time.Second)), qt.IsNil)
-		n, err := quiet.Read(buf)
+		qt.Assert(t, idle.SetReadDeadline(time.Now().Add(5*time.Second)), qt.IsNil)
+		n, err := idle.Read(buf)
 		if err == nil {
 			qt.Assert(t, strings.Contains(string(buf[:n]), "served"), qt.IsTrue, qt.Commentf("%s", buf[:n]))
 		}
 		return n, err
 	}
-	_, err = ask()
+	_, err = request()
 	qt.Assert(t, err, qt.IsNil)
 	stop()
 	time.Sleep(notice / 2)
@@ -63,8 +63,8 @@
 	defer during.Close()
 
 	begun := time.Now()
-	qt.Assert(t, quiet.SetReadDeadline(begun.Add(5*time.Second)), qt.IsNil)
-	_, err = quiet.Read(make([]byte, 1))
+	qt.Assert(t, idle.SetReadDeadline(begun.Add(5*time.Second)), qt.IsNil)
+	_, err = idle.Read(make([]byte, 1))
 	qt.Assert(t, err, qt.Equals, io.EOF)
 	qt.Assert(t, time.Since(begun) < linger/2, qt.IsTrue, qt.Commentf("%v", time.Since(begun)))
 	_, err = net.Dial("tcp", front.Addr().String())
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -22,12 +22,12 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// expireEvery is how often lapsed leases are looked for. A target that died
-// gets no new work one lease and this much after its last announcement.
-const expireEvery = 250 * time.Millisecond
+// expireInterval is how often expired leases are checked. A dead target receives no new
+// work later than one lease plus this interval after its last announcement.
+const expireInterval = 250 * time.Millisecond
 
-// targets takes the announcements of targets and keeps the holder's set of
-// them in step with the leases.
+// targets handles the announcements of targets and keeps the holder's set of targets
+// consistent with the leases.
 type targets struct {
 	self      job.Owner
 	config    config.View
@@ -39,78 +39,80 @@
 	events    timeline.Sink
 	log       *slog.Logger
 	malformed *malformed.Tally
-	// listens reports whether a target's address answers as this life of it.
-	listens func(job.Target) bool
-
-	// changing is held while the registry and the holder change together. A
-	// withdrawal between the two steps of a renewal would otherwise leave a
-	// target with the holder that has no lease: it would get work for ever.
-	changing sync.Mutex
-
-	// passed are the targets that announced themselves through this entry.
-	mu     sync.Mutex
-	passed map[job.TargetID]passedOn
-	// sent are the targets that were lately sent to a holder, by pool.
-	sent map[string][]assign.Passed
-	// leaving are held targets that are passed on, and to whom. Those of which
-	// one entry at a time gives the orders leave once they are idle.
-	leaving map[job.TargetID]job.EntryID
-
+	// isListening reports whether a target's address answers as this incarnation.
+	isListening func(job.Target) bool
+
+	// changeMu is held while the registry and the holder change together. Otherwise a
+	// withdrawal between the two steps of a renewal would leave the holder with a
+	// target that has no lease and receives work forever.
+	changeMu sync.Mutex
+
+	// announcements are the last announcements that targets made through this entry.
+	mu            sync.Mutex
+	announcements map[job.TargetID]announcement
+	// recentlySent are the targets that were recently sent to a holder, by pool.
+	recentlySent map[string][]assign.Passed
+	// transfers are the held targets to transfer, with their new holders. Targets that
+	// are controlled by one entry at a time are transferred once they are idle.
+	transfers map[job.TargetID]job.EntryID
+
+	// exclusive says that each target is controlled by one entry at a time.
 	exclusive bool
 	started   time.Time
 
-	// inventory keeps which entry holds what, for after a loss of all power; nil where
-	// the settings name the entries.
+	// inventory records which entry holds which targets, for the restart after a power loss
+	// of all VMs; nil where the settings name the entries.
 	inventory *targetInventory
-	// yielded are the targets that another entry has taken, and when; mu guards it.
+	// yielded are the targets that another entry has taken, with the time; mu guards it.
 	yielded map[job.TargetID]time.Time
 }
 
-// passedOn is one announcement, who got it and when it lapses.
-type passedOn struct {
-	target job.Target
-	holder job.EntryID
-	until  time.Time
+// announcement is a target's last announcement, the entry that received it and the time at
+// which it expires.
+type announcement struct {
+	target  job.Target
+	holder  job.EntryID
+	expires time.Time
 }
 
 func newTargets(e *Entry) *targets {
 	t := &targets{
-		self:      e.self,
-		config:    e.config,
-		registry:  target.NewRegistry(e.self.Zone, e.config),
-		holder:    e.holder,
-		members:   e.members,
-		mesh:      e.links,
-		events:    e.events,
-		log:       e.log,
-		malformed: e.opts.Malformed,
-		listens:   asking(e.opts.Orders),
-		passed:    map[job.TargetID]passedOn{},
-		leaving:   map[job.TargetID]job.EntryID{},
-		yielded:   map[job.TargetID]time.Time{},
+		self:          e.self,
+		config:        e.config,
+		registry:      target.NewRegistry(e.self.Zone, e.config),
+		holder:        e.holder,
+		members:       e.members,
+		mesh:          e.links,
+		events:        e.events,
+		log:           e.log,
+		malformed:     e.opts.Malformed,
+		isListening:   newListenCheck(e.opts.Orders),
+		announcements: map[job.TargetID]announcement{},
+		transfers:     map[job.TargetID]job.EntryID{},
+		yielded:       map[job.TargetID]time.Time{},
 
 		exclusive: e.opts.Orders != nil,
 		started:   e.started,
 	}
-	t.forward = handover.NewTargets(e.links, t.holderOf, heldHere{t})
+	t.forward = handover.NewTargets(e.links, t.holderOf, localTargets{t})
 	t.mesh.Handle(peer.TargetWithdraw, t.handleWithdraw)
 	return t
 }
 
-// renewals is how many announcements a target makes in one lease, so that two
-// may be lost without its lapsing.
-const renewals = 3
+// announcementsPerLease is how many announcements a target makes in one lease, so that
+// two may be lost before the lease expires.
+const announcementsPerLease = 3
 
-// Announce implements api.Announcer: the announcement goes to the target's
+// Announce implements api.Announcer: it forwards the announcement to the target's
 // holder, which may be this entry.
 func (t *targets) Announce(ctx context.Context, announced job.Target) (lease, renew time.Duration, err error) {
 	lease, _, err = t.announce(ctx, announced)
-	return lease, lease / renewals, err
+	return lease, lease / announcementsPerLease, err
 }
 
-// announce takes an announcement and names the entry that holds the target now.
+// announce handles an announcement and returns the entry that now holds the target.
 func (t *targets) announce(ctx context.Context, announced job.Target) (lease time.Duration, holder job.EntryID, err error) {
-	if err := t.check(&announced); err != nil {
+	if err := t.validate(&announced); err != nil {
 		return 0, "", errors.Trace(err)
 	}
 	lease, holder, err = t.forward.ForwardTarget(ctx, announced)
@@ -120,36 +122,36 @@
 	case err != nil:
 		return 0, "", errors.Trace(err)
 	}
-	t.remember(announced, holder, lease)
+	t.recordAnnouncement(announced, holder, lease)
 	return lease, holder, nil
 }
 
-func (t *targets) remember(announced job.Target, holder job.EntryID, lease time.Duration) {
-	t.inventory.moved(announced, holder)
+func (t *targets) recordAnnouncement(announced job.Target, holder job.EntryID, lease time.Duration) {
+	t.inventory.recordMove(announced, holder)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	if t.passed[announced.ID].holder != holder {
-		if t.sent == nil {
-			t.sent = map[string][]assign.Passed{}
+	if t.announcements[announced.ID].holder != holder {
+		if t.recentlySent == nil {
+			t.recentlySent = map[string][]assign.Passed{}
 		}
 		pool := announced.Pool
-		t.sent[pool] = append(assign.Prune(now, t.sent[pool]), assign.Passed{Holder: holder, At: now})
+		t.recentlySent[pool] = append(assign.Prune(now, t.recentlySent[pool]), assign.Passed{Holder: holder, At: now})
 	}
-	t.passed[announced.ID] = passedOn{announced, holder, now.Add(lease)}
+	t.announcements[announced.ID] = announcement{announced, holder, now.Add(lease)}
 }
 
-// Withdraw implements api.Announcer. The request names the target only, so it is
-// taken for one of this entry's zone, or of any zone where entries find each
-// other by themselves: then it may have come to any of them.
+// Withdraw implements api.Announcer. The request contains only the target's name. A target
+// whose zone is unknown is assumed to be in this entry's zone, or, where targets run tasks
+// under a lease, in any zone: there the request may arrive at any entry.
 func (t *targets) Withdraw(ctx context.Context, id job.TargetID) error {
-	if err := t.counted(target.CheckID(id)); err != nil {
+	if err := t.countMalformed(target.CheckID(id)); err != nil {
 		return errors.Trace(err)
 	}
 	zone, known := t.zoneOf(id)
-	t.withdrawn(id)
-	// The target has ended. Whom this does not reach finds it gone.
-	_ = t.tell(ctx, id, func(m membership.Member) bool {
+	t.removeWithdrawn(id)
+	// The target has ended. An entry that misses this message will find it unreachable.
+	_ = t.notifyEntries(ctx, id, func(m membership.Member) bool {
 		if known {
 			return m.Zone == zone
 		}
@@ -165,136 +167,137 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	passed, ok := t.passed[id]
-	return passed.target.Zone, ok
+	last, ok := t.announcements[id]
+	return last.target.Zone, ok
 }
 
-// Leaving says that a target takes no more work. It is acknowledged only when
-// each entry that may hold it has been told: otherwise the target would believe
-// that nothing more comes, and be given work until its lease ends.
+// Leaving announces that a target accepts no more work. It is acknowledged only when each
+// entry that may hold the target has been notified: otherwise the target would expect no
+// more work, but receive some until its lease ends.
 func (t *targets) Leaving(ctx context.Context, leaving *job.Target) error {
-	if err := t.check(leaving); err != nil {
+	if err := t.validate(leaving); err != nil {
 		return errors.Trace(err)
 	}
-	if err := t.leave(leaving); err != nil {
+	if err := t.removeStopping(leaving); err != nil {
 		return errors.Trace(err)
 	}
-	return t.tell(ctx, leaving, func(m membership.Member) bool { return m.Zone == leaving.Zone })
+	return t.notifyEntries(ctx, leaving, func(m membership.Member) bool { return m.Zone == leaving.Zone })
 }
 
-// tell has other entries drop a target: by its name, or as it announced itself. A
-// balancer may bring the request to another entry than the announcements, so every
-// one that is meant drops it: whoever holds it, and whoever would pass its last
-// announcement on to a next holder.
-func (t *targets) tell(ctx context.Context, what any, meant func(membership.Member) bool) error {
-	ctx, cancel := context.WithTimeout(ctx, withdrawTime)
+// notifyEntries makes the selected entries drop a target, given by its name or its
+// announcement. A balancer may send this request and the announcements to different
+// entries. So the request goes to the holder and also to any entry that would forward the
+// target's last announcement to a new holder.
+func (t *targets) notifyEntries(ctx context.Context, message any, selected func(membership.Member) bool) error {
+	ctx, cancel := context.WithTimeout(ctx, withdrawTimeout)
 	defer cancel()
 	view := t.members.View()
-	var asked []job.EntryID
+	var notified []job.EntryID
 	for _, m := range view.List {
-		if m.Entry != t.self.Entry && m.Live() && meant(m) {
-			asked = append(asked, m.Entry)
+		if m.Entry != t.self.Entry && m.Live() && selected(m) {
+			notified = append(notified, m.Entry)
 		}
 	}
-	failed := make(chan error, len(asked))
-	for _, entry := range asked {
-		go func() { failed <- t.mesh.Call(ctx, entry, peer.TargetWithdraw, what, nil) }()
+	failed := make(chan error, len(notified))
+	for _, entry := range notified {
+		go func() { failed <- t.mesh.Call(ctx, entry, peer.TargetWithdraw, message, nil) }()
 	}
 	var first error
-	for range asked {
+	for range notified {
 		if err := <-failed; err != nil && first == nil {
 			first = err
 		}
 	}
-	return errors.Annotate(first, "an entry was not told that the target leaves")
+	return errors.Annotate(first, "an entry was not notified that the target is stopping")
 }
 
-// withdrawTime bounds how long a withdrawing target waits for the entries: below
-// the second after which it asks elsewhere.
-const withdrawTime = 800 * time.Millisecond
+// withdrawTimeout bounds how long a withdrawing target waits for the entries: less than
+// the second after which it tries another entry.
+const withdrawTimeout = 800 * time.Millisecond
 
-// drop forgets a target whose process has ended and stops new work on it at once.
-func (t *targets) drop(id job.TargetID) {
-	t.forget(id)
-	t.withdraw(id, "", t.holder.EndTarget)
+// removeEnded removes a target whose process has ended and stops new work on it at once.
+func (t *targets) removeEnded(id job.TargetID) {
+	t.forgetTarget(id)
+	t.remove(id, "", t.holder.EndTarget)
 }
 
-// withdrawn stops new work on a target that has withdrawn: its end is held against no task.
-func (t *targets) withdrawn(id job.TargetID) {
-	t.forget(id)
-	t.withdraw(id, "", t.holder.LeaveTarget)
+// removeWithdrawn stops new work on a target that has withdrawn. No task becomes suspect
+// because of the target's end.
+func (t *targets) removeWithdrawn(id job.TargetID) {
+	t.forgetTarget(id)
+	t.remove(id, "", t.holder.LeaveTarget)
 }
 
-func (t *targets) forget(id job.TargetID) {
+func (t *targets) forgetTarget(id job.TargetID) {
 	t.inventory.drop(id)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.passed, id)
-	delete(t.leaving, id)
+	delete(t.announcements, id)
+	delete(t.transfers, id)
 }
 
 func (t *targets) handleWithdraw(_ context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
 	var id job.TargetID
 	if err := cbor.Unmarshal(body, &id); err == nil {
-		t.withdrawn(id)
+		t.removeWithdrawn(id)
 		return true, nil
 	}
 	var leaving job.Target
 	if err := cbor.Unmarshal(body, &leaving); err != nil {
 		return nil, errors.Trace(err)
 	}
-	return true, t.leave(&leaving)
+	return true, t.removeStopping(&leaving)
 }
 
-// heldHere is the part of the targets that this entry holds, as the hand-over
-// of announcements sees it.
-type heldHere struct{ *targets }
+// localTargets exposes the targets held by this entry to the forwarding of announcements.
+type localTargets struct{ *targets }
 
 // Announce implements handover.Registry.
-func (t heldHere) Announce(announced job.Target) (time.Duration, error) {
+func (t localTargets) Announce(announced job.Target) (time.Duration, error) {
 	if t.exclusive {
-		if err := t.admit(&announced); err != nil {
-			return 0, t.counted(err)
+		if err := t.resolveConflict(&announced); err != nil {
+			return 0, t.countMalformed(err)
 		}
 	}
-	t.changing.Lock()
-	defer t.changing.Unlock()
+	t.changeMu.Lock()
+	defer t.changeMu.Unlock()
 	lease, _, err := t.registry.Announce(time.Now(), announced)
 	if err != nil {
 		return 0, errors.Trace(err)
 	}
-	if !t.isLeaving(announced.ID) {
+	if !t.isTransferring(announced.ID) {
 		t.holder.SetTarget(announced)
 	}
 	return lease, nil
 }
 
-// withdraw stops new work on a target from now on, if it is at the address; an empty
-// one stands for any; remove takes it from the holder.
-func (t *targets) withdraw(id job.TargetID, address string, remove func(job.TargetID)) {
-	t.changing.Lock()
-	defer t.changing.Unlock()
+// remove stops new work on a target; removeFromHolder removes it from the holder. Where one
+// entry at a time controls each target, later announcements of the target at the address are
+// refused, or at any address if it is empty.
+func (t *targets) remove(id job.TargetID, address string, removeFromHolder func(job.TargetID)) {
+	t.changeMu.Lock()
+	defer t.changeMu.Unlock()
 	if t.exclusive {
 		t.registry.Bury(time.Now(), id, address)
 	}
 	if _, held := t.registry.Withdraw(time.Now(), id); !held {
 		return
 	}
-	remove(id)
+	removeFromHolder(id)
 	t.events.Record(timeline.Event{Kind: timeline.TargetLeaving, Target: id, Cause: "the target withdrew"})
 }
 
-// passOnTime bounds the passing on of one target to its new holder; the
-// target's next announcement reaches it anyway.
-const passOnTime = 500 * time.Millisecond
+// transferTimeout bounds the transfer of one target to its new holder; the target's
+// next announcement reaches that holder anyway.
+const transferTimeout = 500 * time.Millisecond
 
-// setView acts on a new view of the entries: targets held here are passed on
-// that others are to hold, and so are those that announced themselves here and
-// whose holder is gone.
+// setView reacts to a new view of the entries. It transfers targets that are held here
+// and that others should hold, and targets that announced themselves here and whose
+// holder is gone.
 func (t *targets) setView(view membership.Members) {
 	now := time.Now()
 	t.rebalance()
-	for _, p := range t.stillAnnounced(now) {
+	for _, p := range t.liveAnnouncements(now) {
 		last, _ := view.Get(p.holder)
 		if p.holder == "" || last.Serving() {
 			continue
@@ -303,55 +306,55 @@
 		if to == "" || to == p.holder {
 			continue
 		}
-		t.remember(p.target, to, time.Until(p.until))
-		go t.passOn(p.target, to)
+		t.recordAnnouncement(p.target, to, time.Until(p.expires))
+		go t.transfer(p.target, to)
 	}
 }
 
-// stillAnnounced returns the announcements here that hold.
-func (t *targets) stillAnnounced(now time.Time) []passedOn {
+// liveAnnouncements returns the announcements received here that have not expired.
+func (t *targets) liveAnnouncements(now time.Time) []announcement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forgetLapsed(now)
-	var out []passedOn
-	for _, p := range t.passed {
+	t.dropExpired(now)
+	var out []announcement
+	for _, p := range t.announcements {
 		out = append(out, p)
 	}
 	return out
 }
 
-// forgetLapsed drops announcements whose lease has run out, so that targets that
-// are replaced every day don't fill the memory; the caller holds t.mu.
-func (t *targets) forgetLapsed(now time.Time) {
-	for id, p := range t.passed {
-		if now.After(p.until) {
-			delete(t.passed, id)
+// dropExpired drops announcements whose lease has expired, so that targets that are
+// replaced every day don't fill the memory; the caller holds t.mu.
+func (t *targets) dropExpired(now time.Time) {
+	for id, p := range t.announcements {
+		if now.After(p.expires) {
+			delete(t.announcements, id)
 		}
 	}
 	for id, at := range t.yielded {
-		if now.Sub(at) > yieldedFor {
+		if now.Sub(at) > yieldRetention {
 			delete(t.yielded, id)
 		}
 	}
 }
 
-// expire ends leases that ran out, until ctx ends.
-func (t *targets) expire(ctx context.Context) error {
-	return every(ctx, expireEvery, t.lapse)
+// watchLeases ends expired leases, until ctx ends.
+func (t *targets) watchLeases(ctx context.Context) error {
+	return every(ctx, expireInterval, t.expireLeases)
 }
 
-func (t *targets) lapse(now time.Time) {
+func (t *targets) expireLeases(now time.Time) {
 	t.mu.Lock()
-	t.forgetLapsed(now)
+	t.dropExpired(now)
 	t.mu.Unlock()
 	t.rebalance()
-	t.changing.Lock()
-	defer t.changing.Unlock()
-	for _, lapsed := range t.registry.Expire(now) {
-		t.holder.RemoveTarget(lapsed.ID)
+	t.changeMu.Lock()
+	defer t.changeMu.Unlock()
+	for _, expired := range t.registry.Expire(now) {
+		t.holder.RemoveTarget(expired.ID)
 		t.mu.Lock()
-		delete(t.leaving, lapsed.ID)
+		delete(t.transfers, expired.ID)
 		t.mu.Unlock()
-		t.events.Record(timeline.Event{Kind: timeline.TargetLapsed, Target: lapsed.ID, Cause: "its lease ran out without a renewal"})
+		t.events.Record(timeline.Event{Kind: timeline.TargetLapsed, Target: expired.ID, Cause: "its lease expired without a renewal"})
 	}
 }
--- a/internal/entry/targets_test.go
+++ b/internal/entry/targets_test.go
@@ -23,7 +23,7 @@
 func TestRenewalAndWithdrawalAtOnce(t *testing.T) {
 	h := holder.New(holder.Options{Config: config.Fixed{}, Client: target.NewClient(target.ClientOptions{})})
 	ts := &targets{registry: target.NewRegistry("a", config.Fixed{}), holder: h, events: timeline.Discard{}}
-	held := heldHere{ts}
+	held := localTargets{ts}
 	for i := range 2000 {
 		id := job.TargetID(strconv.Itoa(i))
 		announced := job.Target{ID: id, Pool: "p", Address: "10.0.0.1:" + strconv.Itoa(1000+i), Zone: "a"}
@@ -37,10 +37,10 @@
 				}
 			})
 		}
-		both.Go(func() { held.withdraw(id, "", held.holder.LeaveTarget) })
+		both.Go(func() { held.remove(id, "", held.holder.LeaveTarget) })
 		both.Wait()
 	}
-	ts.lapse(time.Now().Add(time.Hour))
+	ts.expireLeases(time.Now().Add(time.Hour))
 	qt.Assert(t, ts.registry.Held(), qt.HasLen, 0)
 	qt.Assert(t, h.Load("p").Targets, qt.Equals, 0)
 }
@@ -48,14 +48,14 @@
 // A target passes to another holder while it works for this one. Told nothing,
 // the next holder would fill it from its last announcement and be refused.
 func TestReleasedTargetCarriesWhatRunsOnIt(t *testing.T) {
-	h := holder.New(holder.Options{Config: config.Fixed{}, Connect: func(job.Target) holder.Connection { return busy{} }})
-	ts := &targets{registry: target.NewRegistry("a", config.Fixed{}), holder: h, events: timeline.Discard{}, log: slog.New(slog.DiscardHandler), leaving: map[job.TargetID]job.EntryID{}}
-	_, err := heldHere{ts}.Announce(job.Target{ID: "t1", Pool: "p", Address: "10.0.0.1:80", Zone: "a"})
+	h := holder.New(holder.Options{Config: config.Fixed{}, Connect: func(job.Target) holder.Connection { return busyConn{} }})
+	ts := &targets{registry: target.NewRegistry("a", config.Fixed{}), holder: h, events: timeline.Discard{}, log: slog.New(slog.DiscardHandler), transfers: map[job.TargetID]job.EntryID{}}
+	_, err := localTargets{ts}.Announce(job.Target{ID: "t1", Pool: "p", Address: "10.0.0.1:80", Zone: "a"})
 	qt.Assert(t, err, qt.IsNil)
 	h.Offer(&job.Batch{Submission: "j", Service: "p", Tasks: []job.BatchTask{{Index: 0}, {Index: 1}}}, func([]job.TaskOutcome) {})
 	var released []job.Target
-	ts.leaving["t1"] = "other"
-	ts.passOnIdle(func(target job.Target, to job.EntryID) {
+	ts.transfers["t1"] = "other"
+	ts.transferIdle(func(target job.Target, to job.EntryID) {
 		qt.Check(t, to, qt.Equals, job.EntryID("other"))
 		released = append(released, target)
 	})
@@ -65,28 +65,28 @@
 }
 
 // busy is a connection whose tasks run until the holder closes.
-type busy struct{}
+type busyConn struct{}
 
-func (busy) Start(ctx context.Context, _ target.Task) target.Result {
+func (busyConn) Start(ctx context.Context, _ target.Task) target.Result {
 	<-ctx.Done()
 	return target.Result{Status: job.TaskErred, Reason: job.TargetLost}
 }
 
-func (busy) Stop(context.Context, job.ID, int) error { return nil }
+func (busyConn) Stop(context.Context, job.ID, int) error { return nil }
 
-func (busy) Close() {}
+func (busyConn) Close() {}
 
 // Hundreds of workers are replaced each day, each under a new name. What an
 // entry remembers of their announcements must go with their leases; it would
 // fill the memory of an entry that runs for a year.
 func TestAnnouncementsAreForgottenWithTheirLease(t *testing.T) {
 	h := holder.New(holder.Options{Config: config.Fixed{}, Client: target.NewClient(target.ClientOptions{})})
-	ts := &targets{registry: target.NewRegistry("a", config.Fixed{}), holder: h, events: timeline.Discard{}, passed: map[job.TargetID]passedOn{}}
+	ts := &targets{registry: target.NewRegistry("a", config.Fixed{}), holder: h, events: timeline.Discard{}, announcements: map[job.TargetID]announcement{}}
 	for i := range 100 {
-		ts.remember(job.Target{ID: job.TargetID(strconv.Itoa(i))}, "h", time.Minute)
+		ts.recordAnnouncement(job.Target{ID: job.TargetID(strconv.Itoa(i))}, "h", time.Minute)
 	}
-	ts.lapse(time.Now())
-	qt.Assert(t, ts.passed, qt.HasLen, 100)
-	ts.lapse(time.Now().Add(2 * time.Minute))
-	qt.Assert(t, ts.passed, qt.HasLen, 0)
+	ts.expireLeases(time.Now())
+	qt.Assert(t, ts.announcements, qt.HasLen, 100)
+	ts.expireLeases(time.Now().Add(2 * time.Minute))
+	qt.Assert(t, ts.announcements, qt.HasLen, 0)
 }
