--- a/internal/entry/announced_test.go
+++ b/internal/entry/announced_test.go
@@ -25,8 +25,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// holding returns the targets of an entry that is alone, with t1 and t2 held. Which
-// life listens at which address stands in listening.
+// newTestTargets returns the targets of a single entry, with t1 and t2 held. listeners
+// maps addresses to the targets that listen there.
 func newTestTargets(t *testing.T, listeners map[string]job.TargetID) *targets {
 	mesh := (&peertest.Network{}).Join(job.Owner{Entry: "a", Incarnation: 1, Zone: "z"})
 	file := config.Fixed{File: &config.File{Number: 7, Pools: []string{"p", "q"}}}
@@ -51,12 +51,11 @@
 	return job.Target{ID: id, Pool: pool, Address: address, Zone: "z", Slots: 8, MilliProcessors: 32000, MemoryMB: 64}
 }
 
-// Announcements come that can't be meant: an unknown pool, figures below zero or
-// beyond any machine, a name or an address that is none; or that belong to another
-// target. What a user would notice is that targets which work are taken away, are
-// filled beyond their size, or that their places are taken by some that do not exist.
-// None of them may add, change or remove a target, whether it says that it is ready
-// or that it leaves, and each is counted.
+// Malformed announcements arrive: an unknown pool, numbers below zero or beyond any
+// machine, an invalid name or address, or the name or address of another target.
+// Accepting one would remove a working target, fill a target beyond its size, or
+// replace a target by one that does not exist. None may add, change or remove a target,
+// whether it announces readiness or a planned stop, and each is counted.
 func TestWrongAnnouncementsChangeNothing(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -91,7 +90,7 @@
 			qt.Check(t, errors.Is(err, errors.NotValid) || errors.Is(err, errors.AlreadyExists), qt.IsTrue, qt.Commentf("%v", err))
 			qt.Check(t, ts.malformed.Total(malformed.Announcement), qt.Equals, uint64(1))
 			if err := ts.Leaving(t.Context(), &wrong); err == nil {
-				// A name that is not held here may leave: there is nothing to drop.
+				// A target that is not held here may stop: there is nothing to remove.
 				qt.Check(t, wrong.ID == "t1", qt.IsFalse)
 			}
 			qt.Check(t, ts.registry.Held(), qt.DeepEquals, before)
@@ -105,9 +104,10 @@
 	}
 }
 
-// A cut holds back a heartbeat of a target that crashes meanwhile. It arrives when
-// the next life has long been held at that address. Taken for the later one, it would
-// displace the life that works, whose own announcements are then refused for a minute.
+// A partition delays a heartbeat of a target that crashes in the meantime. The heartbeat
+// arrives when the next incarnation has long been held at that address. If it counted as
+// newer, it would displace the working incarnation, whose own announcements would then be
+// refused for a minute.
 func TestOvertakenAnnouncementDoesNotDisplaceALaterLife(t *testing.T) {
 	listening := map[string]job.TargetID{"10.0.0.1:80": "t1", "10.0.0.2:80": "t2"}
 	ts := newTestTargets(t, listening)
@@ -115,7 +115,7 @@
 	qt.Assert(t, err, qt.ErrorMatches, ".*10.0.0.1:80 does not answer as target former, and target t1 already exists.*")
 	_, _, err = ts.announce(t.Context(), testTarget("t1", "p", "10.0.0.1:80"))
 	qt.Assert(t, err, qt.IsNil)
-	// The next life does answer there, and is held at once.
+	// The next incarnation answers there, and is held at once.
 	listening["10.0.0.1:80"] = "later"
 	_, _, err = ts.announce(t.Context(), testTarget("later", "p", "10.0.0.1:80"))
 	qt.Assert(t, err, qt.IsNil)
@@ -124,8 +124,8 @@
 	qt.Assert(t, errors.Is(err, target.ErrWithdrawn), qt.IsTrue)
 }
 
-// A pool is dropped from the configuration while its targets work and then leave.
-// They are renewed, and hear that their leaving is known; new ones are refused.
+// A pool is dropped from the configuration while its targets run tasks and then stop.
+// Their leases are renewed and their planned stops are acknowledged; new targets are refused.
 func TestTargetsOfADroppedPool(t *testing.T) {
 	ts := newTestTargets(t, nil)
 	ts.config = config.Fixed{File: &config.File{Number: 8, Pools: []string{"q"}}}
@@ -136,14 +136,14 @@
 	leaving := testTarget("t1", "p", "10.0.0.1:80")
 	qt.Assert(t, ts.Leaving(t.Context(), &leaving), qt.IsNil)
 	qt.Assert(t, ts.registry.Holds("t1"), qt.IsFalse)
-	// Before the first configuration nobody knows which pools there are.
+	// Before the first configuration the set of pools is unknown.
 	ts.config = config.Fixed{}
 	_, _, err = ts.announce(t.Context(), testTarget("t3", "p", "10.0.0.3:80"))
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// A target leaves, and another entry that holds one of that name elsewhere hears of
-// it. Only the one that is meant may lose its work.
+// A target announces its planned stop, and an entry that holds a target of the same name at
+// another address or in another pool is notified. That target must stay.
 func TestLeavingIsForOneTargetOnly(t *testing.T) {
 	ts := newTestTargets(t, nil)
 	withdraw := func(what any) error {
@@ -155,7 +155,7 @@
 	qt.Assert(t, withdraw(testTarget("t1", "p", "10.0.0.9:80")), qt.IsNotNil)
 	qt.Assert(t, withdraw(testTarget("t1", "q", "10.0.0.1:80")), qt.IsNotNil)
 	qt.Assert(t, ts.registry.Holds("t1"), qt.IsTrue)
-	// One that is not held yet may still come, from where it really is.
+	// A target that is not held yet may still announce itself from its real address.
 	qt.Assert(t, withdraw(testTarget("t5", "p", "10.0.0.9:80")), qt.IsNil)
 	_, _, err := ts.announce(t.Context(), testTarget("t5", "p", "10.0.0.5:80"))
 	qt.Assert(t, err, qt.IsNil)
@@ -166,8 +166,8 @@
 	qt.Assert(t, withdraw(7), qt.IsNotNil)
 }
 
-// Someone takes names that nobody has out of service, ten thousands of them. The
-// memory must not grow with them, and what is held stays.
+// Tens of thousands of unknown target names are withdrawn. The memory must not grow with
+// them, and held targets stay.
 func TestWithdrawalOfUnknownNames(t *testing.T) {
 	ts := newTestTargets(t, nil)
 	qt.Assert(t, errors.Is(ts.Withdraw(t.Context(), ""), errors.NotValid), qt.IsTrue)
@@ -183,7 +183,7 @@
 	qt.Assert(t, errors.Is(err, target.ErrWithdrawn), qt.IsTrue)
 }
 
-// answering is a target's side of a look.
+// fakeOrders answers status queries in place of a target.
 type fakeOrders struct {
 	look runs.Look
 	err  error
@@ -199,14 +199,14 @@
 
 func (a fakeOrders) Renew(_ context.Context, o runs.RenewOrder) (runs.Look, error) {
 	if o != (runs.RenewOrder{}) {
-		return runs.Look{}, errors.New("the question must change nothing at the target")
+		return runs.Look{}, errors.New("the query must change nothing at the target")
 	}
 	return a.look, a.err
 }
 
 func (a fakeOrders) Close() {}
 
-// Who listens is only known from a clear answer.
+// A target counts as listening only if it answers without ambiguity.
 func TestAskingWhoListens(t *testing.T) {
 	for _, c := range []struct {
 		answer fakeOrders
--- a/internal/entry/inventory_test.go
+++ b/internal/entry/inventory_test.go
@@ -22,16 +22,16 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// zoneOf is a zone with one entry that keeps what is told and two that hold targets.
+// testZone is a zone with one entry that records reports and two that hold targets.
 type testZone struct {
 	t     *testing.T
 	net   *peertest.Network
 	store *storage.Store
-	// ended are the targets that don't answer any more.
+	// ended are the targets that no longer answer.
 	ended map[job.TargetID]bool
 }
 
-// begin starts a life of an entry.
+// start starts an incarnation of an entry.
 func (z *testZone) start(name job.EntryID, life job.Incarnation) *targetInventory {
 	mesh := z.net.Join(job.Owner{Entry: name, Incarnation: life, Zone: "z"})
 	var peers []membership.Peer
@@ -74,7 +74,7 @@
 	return ids
 }
 
-// write saves once, as the timer does.
+// save saves once, as the timer does.
 func (z *testZone) save(v *targetInventory) {
 	body, _ := v.unsaved()
 	if body != nil {
@@ -92,14 +92,14 @@
 		for _, name := range []job.EntryID{"a", "b", "keeper"} {
 			z.net.Leave(name)
 		}
-		time.Sleep(time.Second) // what is on its way arrives nowhere
+		time.Sleep(time.Second) // messages in transit are dropped
 		qt.Assert(t, store.Close(), qt.IsNil)
 	})
 }
 
-// The power of all VMs fails. The entries are back in half a second, and callers with them,
-// but targets announce themselves only every second or two: until then everybody is refused
-// though all targets stand idle. What ended meanwhile, or left, must not come back.
+// All VMs lose power. The entries and callers return within half a second, but targets
+// announce themselves only every second or two: until then all callers would be refused
+// while all targets are idle. Targets that ended or withdrew must not be reclaimed.
 func TestAfterALossOfAllPowerTargetsAreTakenAgain(t *testing.T) {
 	withTestZone(t, func(t *testing.T, z *testZone) {
 		keeper, a := z.start("keeper", 1), z.start("a", 1)
@@ -121,8 +121,8 @@
 	})
 }
 
-// An entry is restarted while another one has its targets. Taken back they would lose what
-// runs there.
+// An entry is restarted after another one has taken one of its targets. Taking that target
+// back would stop the tasks that run there.
 func TestWhatAnotherEntryHoldsIsNotTakenBack(t *testing.T) {
 	withTestZone(t, func(t *testing.T, z *testZone) {
 		z.start("keeper", 1)
@@ -137,8 +137,8 @@
 	})
 }
 
-// The entry that remembers was down itself while targets changed hands. What it has on its
-// disk is old then, until the holders have told it again.
+// The keeper was down itself while a target changed holders. The record on its disk is
+// outdated until the holders have reported again.
 func TestOldMemoryIsNotTrusted(t *testing.T) {
 	withTestZone(t, func(t *testing.T, z *testZone) {
 		keeper := z.start("keeper", 1)
@@ -163,7 +163,7 @@
 	})
 }
 
-// forwarding is an entry's way of announcements.
+// newForwarder returns the forwarding of announcements of an entry.
 func newForwarder(v *targetInventory) *handover.Targets {
 	out := handover.NewTargets(v.mesh, v.targets.holderOf, localTargets{v.targets})
 	if v.store != nil {
@@ -172,11 +172,11 @@
 	return out
 }
 
-// heardOf has an entry hear a life of another one.
+// touch makes an entry notice another entry's incarnation.
 func touch(v *targetInventory, other job.Owner) { v.members.Touch(other) }
 
-// The holders of a zone take their targets again, some later than others. Evened out by what
-// they hold so far, targets would go to those that are about to take their own.
+// The holders of a zone reclaim their targets, some later than others. Rebalancing by their
+// current numbers of targets would move targets to holders that are about to reclaim their own.
 func TestTargetsThatAreTakenAgainStay(t *testing.T) {
 	withTestZone(t, func(t *testing.T, z *testZone) {
 		z.start("keeper", 1)
@@ -196,9 +196,9 @@
 	})
 }
 
-// Targets announce themselves through any entry while their holder has just begun. Each must
-// come to the holder that has it or takes it again; chosen anew it would change hands twice,
-// and what runs there be stopped.
+// Targets announce themselves through any entry while their holder has just started. Each
+// announcement must reach the holder that has or reclaims the target. With a newly chosen
+// holder the target would change holders twice, and the tasks that run there would be stopped.
 func TestAnnouncementsFindTheHolderThatIsRemembered(t *testing.T) {
 	withTestZone(t, func(t *testing.T, z *testZone) {
 		keeper, a := z.start("keeper", 1), z.start("a", 1)
@@ -225,9 +225,9 @@
 	})
 }
 
-// A target was taken by another entry, and its next announcement comes to the one that lost
-// it. That one must not take it back: the two would go on so, and each stop what the other
-// has started.
+// Another entry has taken a target, and the target's next announcement arrives at the entry
+// that lost it. That entry must not take the target back: the two would keep doing so, and
+// each would stop the tasks that the other started.
 func TestALostTargetIsNotTakenBack(t *testing.T) {
 	withTestZone(t, func(t *testing.T, z *testZone) {
 		keeper, a, b := z.start("keeper", 1), z.start("a", 1), z.start("b", 1)
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -21,9 +21,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// A worker says that it leaves to an entry that can't reach the one which holds it.
-// Acknowledged all the same, it would believe that nothing more comes, and be given
-// work until its lease ends.
+// A worker announces its planned stop to an entry that can't reach the worker's holder. If
+// the entry acknowledged it anyway, the worker would expect no more work, but receive some
+// until its lease ends.
 func TestLeavingIsAcknowledgedOnlyWhenTheHolderKnows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := &peertest.Network{Delay: time.Millisecond}
--- a/internal/entry/pause_again_test.go
+++ b/internal/entry/pause_again_test.go
@@ -10,10 +10,10 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// An entry stands still for three seconds, runs for a tenth of a second, in which it reads
-// a part of what lay unread, and stands still again for a shorter while. What it reads then
-// may be four seconds old: its caller has sent the job elsewhere, and would have it run
-// twice.
+// An entry is paused for three seconds, runs for a tenth of a second, in which it reads only
+// part of the unread messages, and is paused again for a shorter time. A request that it
+// reads then may be four seconds old: its caller has sent the job to another entry, and the
+// job would run twice.
 func TestRequestsFromBeforeAPauseAreRefusedAfterTheNextOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPausableEntry(t)
@@ -29,10 +29,10 @@
 	})
 }
 
-// An offer leaves its owner and is held up: its holder stands still, or the connection is
-// cut. The owner gives the holder up and has the job run elsewhere. When the two have found
-// each other again the offer is read at last, from the earlier connection. That the owner
-// is alive now does not make the offer new: the holder would run the job beside its second
+// An offer is delayed because its holder is paused or the connection is interrupted. The
+// owner considers the holder lost and has the job run elsewhere. After the two have
+// reconnected, the holder reads the offer from the earlier connection. The owner is alive
+// now, but the offer is still old: the holder would run the job in parallel with its second
 // run.
 func TestAnOldOfferIsRefusedThoughItsOwnerIsHeardAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -51,10 +51,10 @@
 	})
 }
 
-// A request lies unread in an entry that stands still for 0.9 s, runs for 60 ms and stands
-// still for 0.8 s again. The entry has proved to itself in between that it runs, so neither
-// pause ends its right. But the request is 1.7 s old, and its caller, who lost the entry at
-// the first pause, has had the job run elsewhere for 0.4 s: it pays for two runs.
+// A request stays unread in an entry that is paused for 0.9 s, runs for 60 ms and is paused
+// again for 0.8 s. The entry renews its right in between, so neither pause ends the right.
+// But the request is 1.7 s old. Its caller lost the entry during the first pause, and the
+// job has been running elsewhere for 0.4 s: the caller would pay for two runs.
 func TestRequestsFromBeforeTwoShortPausesAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPausableEntry(t)
--- a/internal/entry/pause_test.go
+++ b/internal/entry/pause_test.go
@@ -20,7 +20,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// slowConn is the way to a target whose runs end when the test says so.
+// slowConn is a connection to a target whose runs end when the test ends them.
 type slowConn struct {
 	starts atomic.Int64
 	ends   chan target.Result
@@ -42,9 +42,9 @@
 func (c *slowConn) Stop(context.Context, job.ID, int) error { return nil }
 func (c *slowConn) Close()                                  {}
 
-// pausable are the parts of an entry that hold work, beside another entry that owns
-// some of it. The entry can be made to stand still: nothing of it acts, and what is sent
-// to it meanwhile arrives when it goes on.
+// pausableEntry consists of the parts of an entry that hold work, and of another entry that
+// owns some of that work. The entry can be paused: none of its parts runs, and messages sent
+// to it in the meantime arrive when it resumes.
 type pausableEntry struct {
 	t         *testing.T
 	ctx       context.Context
@@ -76,7 +76,7 @@
 	return p
 }
 
-// assemble joins the parts as an entry does.
+// assemble creates the parts as an entry does.
 func (p *pausableEntry) assemble(mesh *peertest.Node) *Entry {
 	e := &Entry{self: p.self, log: discardLogger(), events: timeline.Discard{}}
 	e.holder = holder.New(holder.Options{Self: p.self, Config: config.Fixed{}, Connect: func(job.Target) holder.Connection { return p.conn }})
@@ -88,7 +88,7 @@
 	return e
 }
 
-// goOn has the entry run again.
+// resume makes the entry run again.
 func (p *pausableEntry) resume() {
 	p.net.SetDelay(time.Millisecond)
 	ctx, cancel := context.WithCancel(p.ctx)
@@ -97,8 +97,8 @@
 	go func() { _ = p.entry.watchOwners(ctx) }()
 }
 
-// standStill has it stand still for some time and go on. The messages that came
-// meanwhile are read before any of its timers is served: either may come first.
+// pause pauses the entry for d and resumes it. The entry reads the messages that arrived in
+// the meantime before any of its timers fires; in a real entry either may come first.
 func (p *pausableEntry) pause(d time.Duration) {
 	p.stopEntry()
 	p.net.SetDelay(d)
@@ -127,7 +127,7 @@
 	p.entry.holder.Close()
 	p.net.Leave("h")
 	p.net.Leave("o")
-	time.Sleep(10 * time.Second) // what is under way arrives nowhere
+	time.Sleep(10 * time.Second) // messages in transit are dropped
 }
 
 var (
@@ -135,10 +135,11 @@
 	leaseExpired = target.Result{Status: job.TaskErred, Reason: job.TargetLost, Over: true}
 )
 
-// An entry holds a job of another one when it stands still for three seconds. The owner
-// can't reach it, gives it up and has the job run elsewhere. What the owner had said
-// before lies unread meanwhile. When the entry goes on it must not take that for a sign
-// of life, and start what waits beside the second run: the studio is billed twice.
+// An entry that holds another entry's job is paused for three seconds. The owner can't reach
+// it, considers it lost and has the job run elsewhere. Earlier messages of the owner stay
+// unread in the meantime. When the entry resumes, it must not treat them as proof that the
+// owner is alive and start the queued task in parallel with the second run: the studio would
+// be billed twice.
 func TestWordFromBeforeAPauseStartsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPausableEntry(t)
@@ -153,10 +154,10 @@
 	})
 }
 
-// An entry runs a job of its own caller when it stands still for three seconds. Its
-// target stops the run, since nobody renews the lease, and the caller sends the job
-// through another entry. When the entry goes on it learns that the run is over: to start
-// the task again then is to run it beside the other one.
+// An entry that runs a job of its own caller is paused for three seconds. The target stops
+// the run because nobody renews the lease, and the caller sends the job through another
+// entry. When the entry resumes, it receives the end of the run. If it started the task
+// again, the task would run in parallel with the other run.
 func TestOwnWorkFromBeforeAPauseIsNotStartedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPausableEntry(t)
@@ -173,7 +174,7 @@
 	})
 }
 
-// A short pause, which callers sit out, costs no work.
+// A pause that is short enough for callers to wait loses no work.
 func TestWorkGoesOnAfterAShortPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPausableEntry(t)
--- a/internal/entry/review_test.go
+++ b/internal/entry/review_test.go
@@ -12,8 +12,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/runs"
 )
 
-// empty is a program that answers each call with 200 and an empty body, as the platform
-// reads it: nothing refused, and no clock.
+// emptyOrders is a program that answers each call with 200 and an empty body. The platform
+// reads this as an answer without a refusal and without a clock.
 type emptyOrders struct{ runs.Orders }
 
 func (emptyOrders) Renew(context.Context, runs.RenewOrder) (runs.Look, error) {
@@ -21,16 +21,16 @@
 }
 func (emptyOrders) Close() {}
 
-// An announcement names a working target at an address at which another program listens:
-// one that answers each call with 200 and knows of no targets. It is not the target, and
-// must not be taken for it, or the target that works is dropped and what runs there with it.
+// An announcement names a working target at an address where another program listens, which
+// answers each call with 200 and is not a target. If the entry mistook that program for the
+// target, it would drop the working target and the tasks that run there.
 func TestAnotherProgramIsNoTarget(t *testing.T) {
 	listens := newListenCheck(func(job.Target) runs.Orders { return emptyOrders{} })
 	qt.Check(t, listens(testTarget("t1", "p", "10.0.0.9:80")), qt.IsFalse)
 }
 
-// An address takes connections and answers nothing, and ten announcements in turn name it.
-// Each is refused within a moment, and a true one in between is taken at once.
+// Ten concurrent announcements name an address that accepts connections and answers nothing.
+// Each waits only for probeTimeout, and a valid announcement in between is accepted at once.
 func TestAStuckAddressHoldsUpNoTrueAnnouncement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ts := newTestTargets(t, nil)
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -17,10 +17,10 @@
 	"github.com/vanillagrade/vanillagrade/internal/settings"
 )
 
-// An artist's client has had its connection open for a while and sends nothing while
-// its entry stops as planned. When the entry takes no more submissions, the
-// connection has to end: the next thumbnail then goes to another entry, in place of
-// being refused here on a connection that the balancer no longer steers.
+// A client keeps an idle connection open during a planned stop of its entry. When the entry
+// accepts no more submissions, the connection must be closed. The client's next request then
+// goes to another entry. On the open connection, which the balancer can no longer redirect,
+// it would be refused.
 func TestPlannedStopEndsTheConnectionsOfCallers(t *testing.T) {
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -59,7 +59,7 @@
 	stop()
 	time.Sleep(notice / 2)
 	during, err := net.Dial("tcp", front.Addr().String())
-	qt.Assert(t, err, qt.IsNil, qt.Commentf("the balancer has not noticed yet"))
+	qt.Assert(t, err, qt.IsNil, qt.Commentf("the balancer has not noticed the stop yet"))
 	defer during.Close()
 
 	begun := time.Now()
@@ -71,7 +71,7 @@
 	qt.Assert(t, err, qt.IsNotNil)
 	select {
 	case err := <-ended:
-		t.Fatalf("the entry ended with its callers' connections: %v", err)
+		t.Fatalf("the entry ended together with its callers' connections: %v", err)
 	default:
 	}
 	qt.Assert(t, <-ended, qt.IsNil)
--- a/internal/entry/targets_test.go
+++ b/internal/entry/targets_test.go
@@ -17,9 +17,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// A stopping target's last renewal is still being taken in when its withdrawal
-// arrives. Whichever comes first, the holder must not be left with a target
-// that has no lease: it would be given work until the entry is restarted.
+// A stopping target's withdrawal arrives while its last renewal is still being
+// processed. In either order the holder must not keep a target without a lease:
+// such a target would receive work until the entry is restarted.
 func TestRenewalAndWithdrawalAtOnce(t *testing.T) {
 	h := holder.New(holder.Options{Config: config.Fixed{}, Client: target.NewClient(target.ClientOptions{})})
 	ts := &targets{registry: target.NewRegistry("a", config.Fixed{}), holder: h, events: timeline.Discard{}}
@@ -45,8 +45,9 @@
 	qt.Assert(t, h.Load("p").Targets, qt.Equals, 0)
 }
 
-// A target passes to another holder while it works for this one. Told nothing,
-// the next holder would fill it from its last announcement and be refused.
+// A target is transferred to another holder while it runs tasks for this one. Without the
+// number of running tasks, the next holder would fill the target according to its last
+// announcement and be refused.
 func TestReleasedTargetCarriesWhatRunsOnIt(t *testing.T) {
 	h := holder.New(holder.Options{Config: config.Fixed{}, Connect: func(job.Target) holder.Connection { return busyConn{} }})
 	ts := &targets{registry: target.NewRegistry("a", config.Fixed{}), holder: h, events: timeline.Discard{}, log: slog.New(slog.DiscardHandler), transfers: map[job.TargetID]job.EntryID{}}
@@ -64,7 +65,7 @@
 	h.Close()
 }
 
-// busy is a connection whose tasks run until the holder closes.
+// busyConn is a connection whose tasks run until the holder closes.
 type busyConn struct{}
 
 func (busyConn) Start(ctx context.Context, _ target.Task) target.Result {
@@ -76,9 +77,9 @@
 
 func (busyConn) Close() {}
 
-// Hundreds of workers are replaced each day, each under a new name. What an
-// entry remembers of their announcements must go with their leases; it would
-// fill the memory of an entry that runs for a year.
+// Hundreds of workers are replaced each day, each under a new name. An entry must
+// forget their announcements when their leases expire, or they would fill the memory
+// of an entry that runs for a year.
 func TestAnnouncementsAreForgottenWithTheirLease(t *testing.T) {
 	h := holder.New(holder.Options{Config: config.Fixed{}, Client: target.NewClient(target.ClientOptions{})})
 	ts := &targets{registry: target.NewRegistry("a", config.Fixed{}), holder: h, events: timeline.Discard{}, announcements: map[job.TargetID]announcement{}}
