--- a/internal/entry/announced.go
+++ b/internal/entry/announced.go
@@ -96,7 +96,8 @@
 	return nil
 }
 
-// newListenCheck returns a function that reports whether an incarnation of a target listens at its address.
+// newListenCheck returns a function that reports whether an incarnation of a target listens
+// at its address.
 func newListenCheck(orders func(job.Target) runs.Orders) func(job.Target) bool {
 	return func(t job.Target) bool {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
--- a/internal/entry/assign.go
+++ b/internal/entry/assign.go
@@ -62,8 +62,9 @@
 	return last
 }
 
-// keeperToAsk returns an entry that remembers the holder of a target, if this entry does
-// not know the holder. It returns an empty name if this entry knows it or may choose one.
+// keeperToAsk returns an entry that records the holders of targets, if this entry does not
+// know the holder of a target. It returns an empty name if this entry knows the holder or may
+// choose one.
 //
 // This entry doesn't know the holder just after its start, or if another entry has taken
 // the target from it. If it then chose a new holder, that one and the current holder would
@@ -195,7 +196,7 @@
 }
 
 // transferIdle transfers those of the selected targets on which no task runs any more.
-func (t *targets) transferIdle(passOn func(job.Target, job.EntryID)) {
+func (t *targets) transferIdle(send func(job.Target, job.EntryID)) {
 	t.mu.Lock()
 	ready := map[job.TargetID]job.EntryID{}
 	for id, to := range t.transfers {
@@ -218,7 +219,7 @@
 		to := ready[released[i].ID]
 		t.events.Record(timeline.Event{Kind: timeline.HolderChanged, Target: released[i].ID, Peer: to, Cause: "the holders of the pool changed"})
 		t.log.Info("target transferred", "target", released[i].ID, "to", to)
-		passOn(released[i], to)
+		send(released[i], to)
 	}
 }
 
--- a/internal/entry/dispatcher.go
+++ b/internal/entry/dispatcher.go
@@ -52,7 +52,7 @@
 // firstConfigTimeout is how long after its start an entry delays submissions until it has a
 // configuration. It receives the one in effect within a few exchanges with the entries that
 // it discovers. After a power loss of all VMs callers return at that moment. Refusing them at
-// once would lose most of them because of a tenth of a second.
+// once would lose most of them to save a wait of a tenth of a second.
 const firstConfigTimeout = 500 * time.Millisecond
 
 // AwaitConfiguration waits for the first configuration until firstConfigTimeout after the
--- a/internal/entry/inventory.go
+++ b/internal/entry/inventory.go
@@ -21,7 +21,7 @@
 
 const (
 	// reportInterval is how often a holder checks whether its targets differ from its last
-	// report. saveInterval is how often received reports are written to disk: there are a few
+	// report. saveInterval is how often changes are written to disk: there are a few
 	// changes an hour, and a sync delays consensus on the same disk.
 	reportInterval = 500 * time.Millisecond
 	saveInterval   = time.Second
@@ -121,7 +121,7 @@
 	return every(ctx, reportInterval, func(time.Time) { v.report(ctx) })
 }
 
-// save writes received reports to disk, until ctx ends.
+// save writes changes of the table to disk, until ctx ends.
 func (v *targetInventory) save(ctx context.Context) error {
 	failing := false
 	return every(ctx, saveInterval, func(time.Time) {
