--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -17,10 +17,10 @@
 	"github.com/vanillagrade/vanillagrade/internal/settings"
 )
 
-// An artist's client has had its connection open for a while and sends nothing while
-// its entry stops as planned. When the entry takes no more submissions, the
-// connection has to end: the next thumbnail then goes to another entry, in place of
-// being refused here on a connection that the balancer no longer steers.
+// A client keeps an idle connection open during a planned stop of its entry. When the entry
+// accepts no more submissions, the connection must be closed. The client's next request then
+// goes to another entry. On the open connection, which the balancer can no longer redirect,
+// it would be refused.
 func TestPlannedStopEndsTheConnectionsOfCallers(t *testing.T) {
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -40,38 +40,38 @@
 	ended := make(chan error, 1)
 	go func() { ended <- e.Run(ctx) }()
 
-	quiet, err := net.Dial("tcp", front.Addr().String())
+	idle, err := net.Dial("tcp", front.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
-	defer quiet.Close()
-	ask := func() (int, error) {
-		_, err := io.WriteString(quiet, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+	defer idle.Close()
+	request := func() (int, error) {
+		_, err := io.WriteString(idle, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 		qt.Assert(t, err, qt.IsNil)
 		buf := make([]byte, 1024)
-		qt.Assert(t, quiet.SetReadDeadline(time.Now().Add(5*time.Second)), qt.IsNil)
-		n, err := quiet.Read(buf)
+		qt.Assert(t, idle.SetReadDeadline(time.Now().Add(5*time.Second)), qt.IsNil)
+		n, err := idle.Read(buf)
 		if err == nil {
 			qt.Assert(t, strings.Contains(string(buf[:n]), "served"), qt.IsTrue, qt.Commentf("%s", buf[:n]))
 		}
 		return n, err
 	}
-	_, err = ask()
+	_, err = request()
 	qt.Assert(t, err, qt.IsNil)
 	stop()
 	time.Sleep(notice / 2)
 	during, err := net.Dial("tcp", front.Addr().String())
-	qt.Assert(t, err, qt.IsNil, qt.Commentf("the balancer has not noticed yet"))
+	qt.Assert(t, err, qt.IsNil, qt.Commentf("the balancer has not noticed the stop yet"))
 	defer during.Close()
 
 	begun := time.Now()
-	qt.Assert(t, quiet.SetReadDeadline(begun.Add(5*time.Second)), qt.IsNil)
-	_, err = quiet.Read(make([]byte, 1))
+	qt.Assert(t, idle.SetReadDeadline(begun.Add(5*time.Second)), qt.IsNil)
+	_, err = idle.Read(make([]byte, 1))
 	qt.Assert(t, err, qt.Equals, io.EOF)
 	qt.Assert(t, time.Since(begun) < linger/2, qt.IsTrue, qt.Commentf("%v", time.Since(begun)))
 	_, err = net.Dial("tcp", front.Addr().String())
 	qt.Assert(t, err, qt.IsNotNil)
 	select {
 	case err := <-ended:
-		t.Fatalf("the entry ended with its callers' connections: %v", err)
+		t.Fatalf("the entry ended together with its callers' connections: %v", err)
 	default:
 	}
 	qt.Assert(t, <-ended, qt.IsNil)
