--- a/internal/registrar/claim.go
+++ b/internal/registrar/claim.go
@@ -8,71 +8,75 @@
 	"github.com/vanillagrade/vanillagrade/internal/membership"
 )
 
-// askState is how far the question to one registrar is.
-type askState uint8
+// queryState is the state of a query.
+type queryState uint8
 
 const (
-	askOpen askState = iota
-	askSent
-	askGranted
-	askHeld
-	askFailed
+	queryUnsent queryState = iota
+	querySent
+	queryGranted
+	queryRefused
+	queryFailed
 )
 
-type ask struct {
-	state    askState
+// query is the state and the latest reply of the query to one registrar.
+type query struct {
+	state    queryState
 	standing Standing
 	held     []Record
 }
 
-// claim is the owner's side of asking registrars. It is pure: replies and the
-// view of the entries in, questions and a verdict out.
+// claim is the state of one claim on the claimant's side. It performs no I/O: from
+// the replies and the view of the entries it determines the registrars to ask and
+// the result.
 //
-// In each zone that matters two live entries, the first by rank that can be
-// reached, must record the owner. Two claims of one id then meet at one entry
-// at least, unless two ways between entries are broken at once, and one lost
-// entry loses no record. A first attempt matters in its own zone only; any
-// other may have been started in another zone, so all zones are asked.
+// In each relevant zone, the two highest ranked live entries that can be reached
+// must record the claimant. Two claims of one id then meet at one entry at least,
+// unless two links between entries are broken at once, and the loss of one entry
+// loses no record. A first attempt concerns its own zone only. Any other attempt
+// may have been started in another zone, so all zones are asked.
 type claim struct {
 	id      job.ID
 	attempt int
 	by      Claimant
-	asks    map[job.EntryID]*ask
-	// given are claimants that gave the submission up.
-	given map[Claimant]bool
-	// moved names who has the submission of a claimant that gave it up to
-	// somebody else, and joined who keeps it.
-	moved  map[Claimant]job.Owner
-	joined map[Claimant]job.Owner
+	queries map[job.EntryID]*query
+	// withdrawn contains the claimants known not to have the submission.
+	withdrawn map[Claimant]bool
+	// redirected maps a claimant that yielded its claim to the entry to which it
+	// yielded. confirmed maps a claimant to the entry that confirmed that it owns
+	// the submission.
+	redirected map[Claimant]job.Owner
+	confirmed  map[Claimant]job.Owner
 }
 
-// verdictKind is what the replies so far mean.
-type verdictKind uint8
+// resultKind is the kind of a claimResult.
+type resultKind uint8
 
-// The verdicts; of those that records of others give, the one that says most
-// comes first.
+// The results. Those derived from records of other claimants are ordered by how
+// conclusive they are, the most conclusive first.
 const (
-	// verdictAnswered: the submission has ended with answer.
-	verdictAnswered verdictKind = iota + 1
-	// verdictJoin: owner has the submission.
-	verdictJoin
-	// verdictRival: by, found in a record, must be asked.
-	verdictRival
-	// verdictConflict: the id names other content.
-	verdictConflict
-	// verdictTakeOver: owner had the submission and is lost.
-	verdictTakeOver
-	// verdictStart: nothing of the submission was started before.
-	verdictStart
-	// verdictWait: more replies are needed; reason says which, for the case that
-	// they never come.
-	verdictWait
-	// verdictUnknown: no reply can make it certain; reason says why.
-	verdictUnknown
+	// resultAnswered: the submission has ended with answer.
+	resultAnswered resultKind = iota + 1
+	// resultJoin: owner has the submission.
+	resultJoin
+	// resultAskRival: the claimant by was found in a record and must be asked.
+	resultAskRival
+	// resultConflict: the id belongs to a submission with different content.
+	resultConflict
+	// resultTakeOver: owner had the submission and is lost.
+	resultTakeOver
+	// resultStart: no task of the submission was started before.
+	resultStart
+	// resultWait: more replies are needed; reason is the reason to report if they
+	// never arrive.
+	resultWait
+	// resultUnknown: no further reply can decide the claim; reason says why.
+	resultUnknown
 )
 
-type claimVerdict struct {
-	kind   verdictKind
+// claimResult is the result of the replies to a claim so far.
+type claimResult struct {
+	kind   resultKind
 	by     Claimant
 	owner  job.Owner
 	answer *job.Answer
@@ -81,43 +85,43 @@
 
 func newClaim(id job.ID, attempt int, by Claimant) *claim {
 	return &claim{
-		id: id, attempt: attempt, by: by, asks: map[job.EntryID]*ask{}, given: map[Claimant]bool{},
-		moved: map[Claimant]job.Owner{}, joined: map[Claimant]job.Owner{},
+		id: id, attempt: attempt, by: by, queries: map[job.EntryID]*query{}, withdrawn: map[Claimant]bool{},
+		redirected: map[Claimant]job.Owner{}, confirmed: map[Claimant]job.Owner{},
 	}
 }
 
-// zones lists the zones whose registrars matter.
-func (c *claim) zones(view *membership.Members) []job.Zone {
+// zonesToAsk lists the zones whose registrars must be asked.
+func (c *claim) zonesToAsk(view *membership.Members) []job.Zone {
 	if c.attempt == 1 {
 		return []job.Zone{c.by.Owner.Zone}
 	}
 	return view.Zones()
 }
 
-// need is how many entries of a zone must record the claim.
-func need(ranked []job.EntryID) int { return min(replicas, len(ranked)) }
+// requiredGrants returns how many entries of a zone must record the claim.
+func requiredGrants(ranked []job.EntryID) int { return min(replicas, len(ranked)) }
 
-// next returns the registrars to ask now and notes them as asked. One that is
-// under suspicion is asked together with its stand-in, so that a dead entry
-// costs no waiting.
-func (c *claim) next(view *membership.Members) []job.EntryID {
+// nextRegistrars returns the registrars to ask now and marks them as asked. A
+// suspected registrar is asked together with the next one by rank, so that a dead
+// entry causes no delay.
+func (c *claim) nextRegistrars(view *membership.Members) []job.EntryID {
 	var list []job.EntryID
-	for _, zone := range c.zones(view) {
+	for _, zone := range c.zonesToAsk(view) {
 		ranked := view.Ranked(zone, string(c.id))
 		counted := 0
 		for _, entry := range ranked {
-			if counted >= need(ranked) {
+			if counted >= requiredGrants(ranked) {
 				break
 			}
-			a := c.ask(entry)
-			if a.state == askFailed {
+			q := c.query(entry)
+			if q.state == queryFailed {
 				continue
 			}
-			if a.state == askOpen {
-				a.state = askSent
+			if q.state == queryUnsent {
+				q.state = querySent
 				list = append(list, entry)
 			}
-			if member, _ := view.Get(entry); member.State != membership.Suspect || a.state == askGranted {
+			if member, _ := view.Get(entry); member.State != membership.Suspect || q.state == queryGranted {
 				counted++
 			}
 		}
@@ -125,215 +129,219 @@
 	return list
 }
 
-func (c *claim) ask(entry job.EntryID) *ask {
-	a := c.asks[entry]
-	if a == nil {
-		a = &ask{}
-		c.asks[entry] = a
+func (c *claim) query(entry job.EntryID) *query {
+	q := c.queries[entry]
+	if q == nil {
+		q = &query{}
+		c.queries[entry] = q
 	}
-	return a
+	return q
 }
 
-// request returns the question for one registrar.
+// request returns the request for one registrar.
 func (c *claim) request(entry job.EntryID, digest job.Digest) *claimRequest {
 	req := &claimRequest{ID: c.id, Digest: digest, By: c.by}
-	for _, held := range c.ask(entry).held {
-		if c.given[held.By] {
+	for _, held := range c.query(entry).held {
+		if c.withdrawn[held.By] {
 			req.Replace = append(req.Replace, held.By)
 		}
 	}
 	return req
 }
 
-func (c *claim) replied(from job.EntryID, r *claimReply) {
-	a := c.ask(from)
-	a.standing = r.Standing
-	a.held = r.Held
+func (c *claim) recordReply(from job.EntryID, r *claimReply) {
+	q := c.query(from)
+	q.standing = r.Standing
+	q.held = r.Held
 	switch {
 	case len(r.Held) == 0:
-		a.state = askGranted
-	case slices.ContainsFunc(r.Held, func(held Record) bool { return c.given[held.By] }):
-		a.state = askOpen
+		q.state = queryGranted
+	case slices.ContainsFunc(r.Held, func(held Record) bool { return c.withdrawn[held.By] }):
+		q.state = queryUnsent
 	default:
-		a.state = askHeld
+		q.state = queryRefused
 	}
 }
 
-func (c *claim) failed(from job.EntryID) { c.ask(from).state = askFailed }
+func (c *claim) recordFailure(from job.EntryID) { c.query(from).state = queryFailed }
 
-// retry opens the questions that failed or that a registrar could not answer
-// yet.
+// retry resets the queries that failed and those granted by registrars that had
+// not yet synced, so that they are sent again.
 func (c *claim) retry() {
-	for _, a := range c.asks {
-		if a.state == askFailed || a.state == askGranted && a.standing == Unsynced {
-			a.state = askOpen
+	for _, q := range c.queries {
+		if q.state == queryFailed || q.state == queryGranted && q.standing == Unsynced {
+			q.state = queryUnsent
 		}
 	}
 }
 
-// gaveUp notes that a claimant found in records does not have the submission.
-func (c *claim) gaveUp(by Claimant) {
-	c.given[by] = true
-	for _, a := range c.asks {
-		if a.state == askHeld && slices.ContainsFunc(a.held, func(held Record) bool { return held.By == by }) {
-			a.state = askOpen
+// recordWithdrawal records that a claimant found in records does not have the
+// submission, and resets the queries refused because of it.
+func (c *claim) recordWithdrawal(by Claimant) {
+	c.withdrawn[by] = true
+	for _, q := range c.queries {
+		if q.state == queryRefused && slices.ContainsFunc(q.held, func(held Record) bool { return held.By == by }) {
+			q.state = queryUnsent
 		}
 	}
 }
 
-// rival returns whom to ask about a claimant found in records.
+// rival returns the entry to ask about a claimant found in records.
 func (c *claim) rival(by Claimant) job.Owner {
-	if to, ok := c.moved[by]; ok {
+	if to, ok := c.redirected[by]; ok {
 		return to
 	}
 	return by.Owner
 }
 
-// yielded takes in what the asked entry said about a claimant.
+// yielded records the asked entry's reply to a yield request about a claimant.
 func (c *claim) yielded(by Claimant, asked job.Owner, r *yieldReply) {
 	switch r.Verdict {
-	case yieldMine:
-		c.joined[by] = asked
-	case yieldMoved:
-		c.moved[by] = r.To
+	case yieldRefused:
+		c.confirmed[by] = asked
+	case yieldRedirected:
+		c.redirected[by] = r.To
 	default:
-		c.gaveUp(by)
+		c.recordWithdrawal(by)
 	}
 }
 
-// granted lists the registrars that recorded the claim.
-func (c *claim) granted() []job.EntryID {
+// grantedBy lists the registrars that recorded the claim.
+func (c *claim) grantedBy() []job.EntryID {
 	var list []job.EntryID
-	for _, entry := range c.order() {
-		if c.asks[entry].state == askGranted {
+	for _, entry := range c.askedRegistrars() {
+		if c.queries[entry].state == queryGranted {
 			list = append(list, entry)
 		}
 	}
 	return list
 }
 
-// verdict says what the replies so far mean for a submission of that content,
-// of which this entry may have yielded its claim.
-func (c *claim) verdict(view *membership.Members, digest job.Digest, yielded job.Owner) claimVerdict {
+// evaluate returns the result of the replies so far for a submission with the
+// given digest. yielded is the entry to which this entry yielded its claim, if any.
+func (c *claim) evaluate(view *membership.Members, digest job.Digest, yielded job.Owner) claimResult {
 	if !yielded.IsZero() {
-		return claimVerdict{kind: verdictJoin, owner: yielded}
+		return claimResult{kind: resultJoin, owner: yielded}
 	}
-	if v, found := c.rivals(view, digest); found {
-		return v
+	if result, found := c.evaluateRecords(view, digest); found {
+		return result
 	}
 	if view.Isolated {
-		return claimVerdict{kind: verdictUnknown, reason: job.NoRegistrar}
+		return claimResult{kind: resultUnknown, reason: job.NoRegistrar}
 	}
-	v := claimVerdict{kind: verdictStart}
-	for _, zone := range c.zones(view) {
-		z := c.zone(view, zone)
-		// While any zone may still name an owner, that one's failure to tell
-		// decides nothing; this entry's own zone is waited for longest.
-		if z.kind == verdictWait && (v.kind != verdictWait || zone == c.by.Owner.Zone) || z.kind == verdictUnknown && v.kind == verdictStart {
-			v = z
+	result := claimResult{kind: resultStart}
+	for _, zone := range c.zonesToAsk(view) {
+		zoneResult := c.zone(view, zone)
+		// While replies of any zone are missing, an inconclusive result of another
+		// zone decides nothing, because the missing replies may name an owner. A
+		// pending local zone takes precedence, because its timeout is the longest.
+		if zoneResult.kind == resultWait && (result.kind != resultWait || zone == c.by.Owner.Zone) || zoneResult.kind == resultUnknown && result.kind == resultStart {
+			result = zoneResult
 		}
 	}
-	return v
+	return result
 }
 
-// order lists the asked entries by name, so that equal replies give equal
-// verdicts.
-func (c *claim) order() []job.EntryID { return slices.Sorted(maps.Keys(c.asks)) }
+// askedRegistrars lists the asked entries sorted by name, so that equal replies
+// give equal results.
+func (c *claim) askedRegistrars() []job.EntryID { return slices.Sorted(maps.Keys(c.queries)) }
 
-// rivals says what the records of other claimants mean together. A lost
-// claimant's record may be of a claim that never started beside one of a job
-// that runs, so it decides only when all have answered and none says more.
-func (c *claim) rivals(view *membership.Members, digest job.Digest) (best claimVerdict, found bool) {
-	open := false
-	for _, entry := range c.order() {
-		a := c.asks[entry]
+// evaluateRecords returns the result of the records of all other claimants. The
+// record of a lost claimant may belong to a claim that never started, while
+// another record belongs to a running job. It therefore decides only when all
+// registrars have answered and no other record is more conclusive.
+func (c *claim) evaluateRecords(view *membership.Members, digest job.Digest) (best claimResult, found bool) {
+	outstanding := false
+	for _, entry := range c.askedRegistrars() {
+		q := c.queries[entry]
 		member, _ := view.Get(entry)
-		open = open || a.state == askSent && member.State != membership.Suspect
-		if a.state != askHeld {
+		outstanding = outstanding || q.state == querySent && member.State != membership.Suspect
+		if q.state != queryRefused {
 			continue
 		}
-		for i := range a.held {
-			if v := c.rivalVerdict(view, digest, &a.held[i]); !found || v.kind < best.kind {
-				best, found = v, true
+		for i := range q.held {
+			if result := c.evaluateRecord(view, digest, &q.held[i]); !found || result.kind < best.kind {
+				best, found = result, true
 			}
 		}
 	}
-	if found && open && (best.kind == verdictTakeOver || best.kind == verdictConflict) {
-		best.kind = verdictWait
+	if found && outstanding && (best.kind == resultTakeOver || best.kind == resultConflict) {
+		best.kind = resultWait
 	}
 	return best, found
 }
 
-// rivalVerdict says what a record of another owner means.
-func (c *claim) rivalVerdict(view *membership.Members, digest job.Digest, held *Record) claimVerdict {
-	v := claimVerdict{owner: held.By.Owner, by: held.By, reason: job.OwnerLost}
-	keeper, joined := c.joined[held.By]
+// evaluateRecord returns the result of one record of another claimant.
+func (c *claim) evaluateRecord(view *membership.Members, digest job.Digest, held *Record) claimResult {
+	result := claimResult{owner: held.By.Owner, by: held.By, reason: job.OwnerLost}
+	confirmedOwner, confirmed := c.confirmed[held.By]
 	gone := view.Gone(held.By.Owner.Entry, held.By.Owner.Incarnation)
 	switch {
-	case held.Digest != digest && (held.Answer != nil || joined || gone):
-		v.kind = verdictConflict
+	case held.Digest != digest && (held.Answer != nil || confirmed || gone):
+		result.kind = resultConflict
 	case held.Digest != digest:
-		// Its claim may have been refused, with the news of that on its way
-		// here; then the record names nothing that exists.
-		v.kind = verdictRival
+		// The claim may have been refused, and the message that removes its
+		// record may still be in transit. The record is then obsolete.
+		result.kind = resultAskRival
 	case held.Answer != nil && !held.Answer.Run.Proven():
-		v.kind, v.answer = verdictAnswered, held.Answer
-	case joined:
-		v.kind, v.owner = verdictJoin, keeper
+		result.kind, result.answer = resultAnswered, held.Answer
+	case confirmed:
+		result.kind, result.owner = resultJoin, confirmedOwner
 	case gone:
-		v.kind = verdictTakeOver
+		result.kind = resultTakeOver
 	default:
-		v.kind = verdictRival
+		result.kind = resultAskRival
 	}
-	return v
+	return result
 }
 
-// zone says whether one zone's registrars have said enough.
-func (c *claim) zone(view *membership.Members, zone job.Zone) claimVerdict {
-	reason, far := job.NoRegistrar, zone != c.by.Owner.Zone
-	if far {
+// zone returns the result of one zone: whether its registrars gave enough replies
+// and what these prove.
+func (c *claim) zone(view *membership.Members, zone job.Zone) claimResult {
+	reason, remote := job.NoRegistrar, zone != c.by.Owner.Zone
+	if remote {
 		reason = job.ZoneUnreachable
 	}
 	ranked := view.Ranked(zone, string(c.id))
-	enough := need(ranked)
-	if far && !c.outstanding(view, ranked) {
-		// One is enough where the others can't be reached: an owner in that zone
-		// needs two, so it meets this claim at the one.
-		enough = min(1, enough)
+	required := requiredGrants(ranked)
+	if remote && !c.hasOutstanding(view, ranked) {
+		// One grant is enough where the others can't be reached: an owner in that
+		// zone needs two grants, so it meets this claim at the one.
+		required = min(1, required)
 	}
 	if len(ranked) == 0 {
-		return claimVerdict{kind: verdictUnknown, reason: reason}
+		return claimResult{kind: resultUnknown, reason: reason}
 	}
 	granted := 0
-	said := map[Standing]bool{}
+	standings := map[Standing]bool{}
 	for _, entry := range ranked {
-		if a := c.asks[entry]; a != nil && a.state == askGranted {
+		if q := c.queries[entry]; q != nil && q.state == queryGranted {
 			granted++
-			said[a.standing] = true
+			standings[q.standing] = true
 		}
 	}
 	switch {
-	case granted < enough:
-		return claimVerdict{kind: verdictWait, reason: reason}
+	case granted < required:
+		return claimResult{kind: resultWait, reason: reason}
 	case c.attempt == 1:
-		return claimVerdict{kind: verdictStart}
-	case said[Lost]:
-		return claimVerdict{kind: verdictUnknown, reason: job.NoRegistrar}
-	case said[Authoritative]:
-		return claimVerdict{kind: verdictStart}
-	case said[Cold] && c.attempt == job.AttemptUnsaid:
-		return claimVerdict{kind: verdictStart}
-	case said[Cold]:
-		return claimVerdict{kind: verdictUnknown, reason: job.NoRegistrar}
+		return claimResult{kind: resultStart}
+	case standings[Lost]:
+		return claimResult{kind: resultUnknown, reason: job.NoRegistrar}
+	case standings[Authoritative]:
+		return claimResult{kind: resultStart}
+	case standings[Cold] && c.attempt == job.AttemptUnsaid:
+		return claimResult{kind: resultStart}
+	case standings[Cold]:
+		return claimResult{kind: resultUnknown, reason: job.NoRegistrar}
 	}
-	return claimVerdict{kind: verdictWait, reason: job.NoRegistrar}
+	return claimResult{kind: resultWait, reason: job.NoRegistrar}
 }
 
-// outstanding reports whether an entry that seems to be up has not replied.
-func (c *claim) outstanding(view *membership.Members, ranked []job.EntryID) bool {
+// hasOutstanding reports whether a reply of an unsuspected entry is missing.
+func (c *claim) hasOutstanding(view *membership.Members, ranked []job.EntryID) bool {
 	for _, entry := range ranked {
 		member, _ := view.Get(entry)
-		if a := c.asks[entry]; a != nil && a.state == askSent && member.State != membership.Suspect {
+		if q := c.queries[entry]; q != nil && q.state == querySent && member.State != membership.Suspect {
 			return true
 		}
 	}
--- a/internal/registrar/drive.go
+++ b/internal/registrar/drive.go
@@ -13,55 +13,59 @@
 )
 
 const (
-	// askTimeout is how long a registrar may take before its stand-in is asked:
-	// far over a crossing, far under what a caller notices as a stop.
-	askTimeout = 200 * time.Millisecond
-	// retryPause is the time between rounds of questions.
-	retryPause = 50 * time.Millisecond
-	// patience is how long a claim waits for its zone's registrars. It covers
-	// the time until a dead entry is declared dead.
-	patience = 4 * time.Second
-	// farPatience is how long it waits for other zones once its own has
-	// answered: a cut lasts longer than any caller waits.
-	farPatience = 500 * time.Millisecond
-	// joinAgain is when a joined submission's answer is asked for again, in case
-	// it was lost inside a process; nearly all submissions end sooner.
-	joinAgain = 10 * time.Second
+	// queryTimeout is the time after which the next registrar by rank is asked. It
+	// is well above a round trip between zones and well below a delay that callers
+	// notice.
+	queryTimeout = 200 * time.Millisecond
+	// retryInterval is the interval between rounds of queries.
+	retryInterval = 50 * time.Millisecond
+	// localZoneTimeout bounds how long a claim waits for its zone's registrars. It
+	// covers the time until a dead entry is declared dead.
+	localZoneTimeout = 4 * time.Second
+	// remoteZoneTimeout bounds how long a claim waits for other zones once its own
+	// has answered. It is short because a partition lasts longer than any caller
+	// waits.
+	remoteZoneTimeout = 500 * time.Millisecond
+	// joinTimeout is the time after which the answer of a joined submission is
+	// requested again, in case it was lost inside a process. Nearly all submissions
+	// end sooner.
+	joinTimeout = 10 * time.Second
 )
 
-// ErrOwnerLost says that the owner whose answer was waited for is gone.
+// ErrOwnerLost is returned by Join when the owner of the submission is lost.
 const ErrOwnerLost = errors.ConstError("the owner of the submission was lost")
 
-// reply is what came of one question.
+// reply is the result of one query to a registrar or to a rival owner.
 type reply struct {
 	from  job.EntryID
 	reply claimReply
 	err   error
-	// yield is set when the question went to a rival owner.
-	yield  bool
-	rival  Claimant
-	asked  job.Owner
-	answer yieldReply
+	// fromRival is set for a yield request: asked is the entry that was asked about
+	// the claimant rival, and answer is its reply.
+	fromRival bool
+	rival     Claimant
+	asked     job.Owner
+	answer    yieldReply
 }
 
-// Claim registers a submission before any of its tasks starts. The error is
-// that of ctx.
+// Claim claims a submission for this entry and must return before any of its tasks
+// starts. It fails only with the error of ctx.
 func (r *Registrar) Claim(ctx context.Context, sub *job.Submission) (Decision, error) {
 	if !sub.CallerID {
-		// Nobody can send an id again that this entry has just made.
+		// This entry has just generated the id, so no caller can resend it.
 		return Decision{Kind: Own, Owner: r.self}, nil
 	}
-	r.noteClaims(r.opts.Retain)
+	r.markClaimsActive(r.opts.Retain)
 	for {
 		s := r.shard(sub.ID)
 		s.mu.Lock()
-		e, isNew := s.owned.begin(sub.ID, sub.Digest)
+		owned, isNew := s.ownerTable.begin(sub.ID, sub.Digest)
 		if isNew {
 			s.mu.Unlock()
-			return r.drive(ctx, sub, e)
+			return r.runClaim(ctx, sub, owned)
 		}
-		d, decided := r.known(e, sub)
-		pending := e.decided
+		d, decided := r.decideKnown(owned, sub)
+		pending := owned.decided
 		s.mu.Unlock()
 		if decided {
 			return d, nil
@@ -74,70 +78,75 @@
 	}
 }
 
-// known decides on a submission that this entry already has; the caller holds
+// decideKnown decides the claim of a submission that is already in this entry's
+// ownerTable; decided is false while an earlier claim is pending. The caller holds
 // the shard's lock.
-func (r *Registrar) known(e *own, sub *job.Submission) (d Decision, decided bool) {
+func (r *Registrar) decideKnown(owned *ownedSubmission, sub *job.Submission) (d Decision, decided bool) {
 	switch {
-	case e.digest != sub.Digest:
+	case owned.digest != sub.Digest:
 		return Decision{Kind: Conflict, Owner: r.self, Reason: job.IDReused}, true
-	case e.state == ownPending:
+	case owned.state == ownerPending:
 		return Decision{}, false
-	case e.state == ownOwned:
+	case owned.state == ownerStarted:
 		return Decision{Kind: Join, Owner: r.self}, true
-	case e.answer != nil:
-		return Decision{Kind: Answered, Owner: r.self, Answer: *e.answer}, true
+	case owned.answer != nil:
+		return Decision{Kind: Answered, Owner: r.self, Answer: *owned.answer}, true
 	}
-	const detail = "it ended, and its answer is no longer held"
+	const detail = "the submission ended, but its answer is no longer kept"
 	return Decision{Kind: Answered, Owner: r.self, Answer: job.Fail(sub.ID, job.OwnerLost, detail)}, true
 }
 
-// drive asks registrars until the claim is decided.
-func (r *Registrar) drive(ctx context.Context, sub *job.Submission, e *own) (Decision, error) {
-	c := newClaim(sub.ID, sub.Attempt, Claimant{r.self, e.number})
-	d, err := r.decide(ctx, sub, e, c)
+// runClaim asks registrars until the claim is decided, and withdraws the claim
+// unless this entry becomes the owner.
+func (r *Registrar) runClaim(ctx context.Context, sub *job.Submission, owned *ownedSubmission) (Decision, error) {
+	c := newClaim(sub.ID, sub.Attempt, Claimant{r.self, owned.claimNumber})
+	d, err := r.decide(ctx, sub, owned, c)
 	if err != nil || d.Kind != Own {
 		s := r.shard(sub.ID)
 		s.mu.Lock()
-		s.owned.drop(e)
+		s.ownerTable.drop(owned)
 		s.mu.Unlock()
-		r.tell(c.granted(), settleMessage{ID: sub.ID, By: c.by})
+		r.sendSettle(c.grantedBy(), settleMessage{ID: sub.ID, By: c.by})
 	}
 	return d, err
 }
 
-func (r *Registrar) decide(ctx context.Context, sub *job.Submission, e *own, c *claim) (Decision, error) {
+// decide sends queries to registrars and rival owners and evaluates their replies
+// until the claim has a final decision or ctx ends.
+func (r *Registrar) decide(ctx context.Context, sub *job.Submission, owned *ownedSubmission, c *claim) (Decision, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	replies := make(chan reply, 2*replicas)
 	start := time.Now()
-	asking := false // a rival owner is being asked
+	askingRival := false // a yield request is in flight
 	for {
 		r.mu.Lock()
 		changed := r.changed
 		r.mu.Unlock()
 		view := r.opts.Members.View()
-		for _, entry := range c.next(&view) {
-			go r.ask(ctx, c.request(entry, sub.Digest), entry, replies)
+		for _, entry := range c.nextRegistrars(&view) {
+			go r.askRegistrar(ctx, c.request(entry, sub.Digest), entry, replies)
 		}
-		v := r.judge(e, c, &view, sub.Digest)
-		if d, ok := r.decision(ctx, sub, v, time.Since(start)); ok {
+		result := r.evaluateAndStart(owned, c, &view, sub.Digest)
+		if d, ok := r.toDecision(ctx, sub, result, time.Since(start)); ok {
 			return d, nil
 		}
-		if v.kind == verdictRival && !asking {
-			asking = true
-			go r.askRival(ctx, reply{yield: true, rival: v.by, asked: c.rival(v.by)}, sub, replies)
+		if result.kind == resultAskRival && !askingRival {
+			askingRival = true
+			go r.askRival(ctx, reply{fromRival: true, rival: result.by, asked: c.rival(result.by)}, sub, replies)
 		}
-		timer := time.NewTimer(retryPause)
+		timer := time.NewTimer(retryInterval)
 		select {
 		case a := <-replies:
-			// A rival that can't be reached is asked again after a pause only.
-			asking = asking && (!a.yield || a.err != nil)
-			c.take(a)
+			// After a failed yield request, the rival is asked again only after
+			// retryInterval.
+			askingRival = askingRival && (!a.fromRival || a.err != nil)
+			c.applyReply(a)
 		case <-changed:
-			asking = false
+			askingRival = false
 			c.retry()
 		case <-timer.C:
-			asking = false
+			askingRival = false
 			c.retry()
 		case <-ctx.Done():
 			timer.Stop()
@@ -147,33 +156,33 @@
 	}
 }
 
-// take takes in what came of a question.
-func (c *claim) take(a reply) {
+// applyReply applies the result of a query to the claim.
+func (c *claim) applyReply(a reply) {
 	switch {
-	case a.yield && a.err != nil:
-	case a.yield:
+	case a.fromRival && a.err != nil:
+	case a.fromRival:
 		c.yielded(a.rival, a.asked, &a.answer)
 	case a.err != nil:
-		c.failed(a.from)
+		c.recordFailure(a.from)
 	default:
-		c.replied(a.from, &a.reply)
+		c.recordReply(a.from, &a.reply)
 	}
 }
 
-func (r *Registrar) ask(ctx context.Context, req *claimRequest, to job.EntryID, replies chan<- reply) {
+func (r *Registrar) askRegistrar(ctx context.Context, req *claimRequest, to job.EntryID, replies chan<- reply) {
 	if to == r.self.Entry {
-		send(ctx, replies, reply{from: to, reply: *r.record(req)})
+		deliver(ctx, replies, reply{from: to, reply: *r.answerClaim(req)})
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, askTimeout)
+	call, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	a := reply{from: to}
 	a.err = r.opts.Mesh.Call(call, to, peer.RegistrarClaim, req, &a.reply)
-	send(ctx, replies, a)
+	deliver(ctx, replies, a)
 }
 
-// send gives a reply to the claim, unless that is decided already.
-func send(ctx context.Context, replies chan<- reply, a reply) {
+// deliver passes a reply to the claim, unless the claim has already ended.
+func deliver(ctx context.Context, replies chan<- reply, a reply) {
 	select {
 	case replies <- a:
 	case <-ctx.Done():
@@ -181,50 +190,52 @@
 }
 
 func (r *Registrar) askRival(ctx context.Context, a reply, sub *job.Submission, replies chan<- reply) {
-	call, cancel := context.WithTimeout(ctx, askTimeout)
+	call, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	a.err = r.opts.Mesh.Call(call, a.asked.Entry, peer.RegistrarYield, yieldRequest{ID: sub.ID, Digest: sub.Digest, Of: a.asked}, &a.answer)
-	send(ctx, replies, a)
+	deliver(ctx, replies, a)
 }
 
-// judge says what the replies so far mean, and starts the submission in the same
-// step in which it says so: nobody can be told in between that it is given up.
-func (r *Registrar) judge(e *own, c *claim, view *membership.Members, digest job.Digest) claimVerdict {
+// evaluateAndStart evaluates the replies so far and, if the result is resultStart,
+// marks the submission as started under the same lock, so that the claim can't be
+// yielded in between.
+func (r *Registrar) evaluateAndStart(owned *ownedSubmission, c *claim, view *membership.Members, digest job.Digest) claimResult {
 	s := r.shard(c.id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := c.verdict(view, digest, e.yielded)
-	if v.kind == verdictStart {
-		s.owned.start(e, c.granted())
+	result := c.evaluate(view, digest, owned.yielded)
+	if result.kind == resultStart {
+		s.ownerTable.start(owned, c.grantedBy())
 	}
-	return v
+	return result
 }
 
-// decision returns what a verdict means for the pipeline, once it is final.
-func (r *Registrar) decision(ctx context.Context, sub *job.Submission, v claimVerdict, waited time.Duration) (d Decision, final bool) {
-	switch v.kind {
-	case verdictStart:
+// toDecision converts a claim's result to a Decision; final is false while the
+// claim must wait.
+func (r *Registrar) toDecision(ctx context.Context, sub *job.Submission, result claimResult, waited time.Duration) (d Decision, final bool) {
+	switch result.kind {
+	case resultStart:
 		return Decision{Kind: Own, Owner: r.self}, true
-	case verdictJoin:
-		r.opts.Events.Record(timeline.Event{Kind: timeline.SubmissionJoined, Submission: sub.ID, Peer: v.owner.Entry, Cause: "it runs at another entry"})
-		return Decision{Kind: Join, Owner: v.owner}, true
-	case verdictAnswered:
-		return Decision{Kind: Answered, Owner: v.owner, Answer: *v.answer}, true
-	case verdictTakeOver:
-		return r.takeOver(ctx, sub, v.owner), true
-	case verdictConflict:
-		return Decision{Kind: Conflict, Owner: v.owner, Reason: job.IDReused}, true
-	case verdictUnknown:
-		return r.unknown(sub, v.reason), true
+	case resultJoin:
+		r.opts.Events.Record(timeline.Event{Kind: timeline.SubmissionJoined, Submission: sub.ID, Peer: result.owner.Entry, Cause: "the submission runs at another entry"})
+		return Decision{Kind: Join, Owner: result.owner}, true
+	case resultAnswered:
+		return Decision{Kind: Answered, Owner: result.owner, Answer: *result.answer}, true
+	case resultTakeOver:
+		return r.takeOver(ctx, sub, result.owner), true
+	case resultConflict:
+		return Decision{Kind: Conflict, Owner: result.owner, Reason: job.IDReused}, true
+	case resultUnknown:
+		return r.unknownDecision(sub, result.reason), true
 	}
-	if waited > patience || v.reason == job.ZoneUnreachable && waited > farPatience {
-		return r.unknown(sub, v.reason), true
+	if waited > localZoneTimeout || result.reason == job.ZoneUnreachable && waited > remoteZoneTimeout {
+		return r.unknownDecision(sub, result.reason), true
 	}
 	return Decision{}, false
 }
 
-// takeOver decides on a lost owner's submission: all its tasks may have been
-// handed out.
+// takeOver returns the decision for a lost owner's submission. All its tasks may
+// have been handed out.
 func (r *Registrar) takeOver(ctx context.Context, sub *job.Submission, lost job.Owner) Decision {
 	d := Decision{Kind: TakeOver, Owner: lost, Reason: job.OwnerLost}
 	for i := range sub.Tasks {
@@ -240,28 +251,29 @@
 	return d
 }
 
-// unknown is the honest answer where nobody in reach can tell.
-func (r *Registrar) unknown(sub *job.Submission, reason job.Reason) Decision {
+// unknownDecision returns the decision for a claim where no reachable entry knows
+// whether the submission was started.
+func (r *Registrar) unknownDecision(sub *job.Submission, reason job.Reason) Decision {
 	d := Decision{Kind: Unknown, Reason: reason, NotRun: sub.Attempt == 1 && reason == job.NoRegistrar}
 	switch reason {
 	case job.ZoneUnreachable:
-		d.Detail = "another availability zone, where the id may have been sent before, can't be asked; a submission that was never sent before says so with attempt 1"
+		d.Detail = "another availability zone, to which the id may have been sent before, is unreachable; set attempt to 1 for a submission that was never sent before"
 	case job.OwnerLost:
-		d.Detail = "the entry that has the submission can't be reached"
+		d.Detail = "the entry recorded as the owner of the submission is unreachable"
 	default:
-		d.Detail = "the entries that would know the id can't be asked"
+		d.Detail = "no reachable registrar can tell whether the submission was started"
 	}
 	return d
 }
 
-// Join waits for the answer of a submission that another entry owns.
+// Join waits for the answer of a submission that owner has.
 func (r *Registrar) Join(ctx context.Context, owner job.Owner, id job.ID) (job.Answer, error) {
 	if owner == r.self {
-		return r.local(ctx, id)
+		return r.localAnswer(ctx, id)
 	}
 	for {
 		var answer joinReply
-		call, cancel := context.WithTimeout(ctx, joinAgain)
+		call, cancel := context.WithTimeout(ctx, joinTimeout)
 		err := r.opts.Mesh.Call(call, owner.Entry, peer.SubmissionJoin, joinRequest{ID: id}, &answer)
 		cancel()
 		switch {
@@ -277,7 +289,7 @@
 			return job.Answer{}, errors.Annotatef(ErrOwnerLost, "%s", owner.Entry)
 		}
 		select {
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/registrar/explore_test.go
+++ b/internal/registrar/explore_test.go
@@ -14,37 +14,37 @@
 	"github.com/vanillagrade/vanillagrade/internal/membership"
 )
 
-// exploration is what was seen within the bounds.
+// exploration is the state and result of one search through the simulation.
 type exploration struct {
-	seen     map[uint64]bool
-	complete bool
-	found    string
+	visited   map[uint64]bool
+	complete  bool
+	violation string
 }
 
-// step is a state with the way to it.
+// step is a visited state with the choice that led to it and the preceding step.
 type step struct {
-	world *world
-	name  string
-	back  *step
+	simulation *simulation
+	name       string
+	previous   *step
 }
 
 func (s *step) trace() string {
 	var names []string
-	for ; s.back != nil; s = s.back {
+	for ; s.previous != nil; s = s.previous {
 		names = append(names, s.name)
 	}
 	slices.Reverse(names)
 	return strings.Join(names, "\n")
 }
 
-// explore visits the states in the order of their distance from the start, so
-// that a limit leaves out the longest ways only.
+// explore visits the states breadth first, so that the limit cuts off only the
+// longest paths.
 func explore(b bounds, limit int) *exploration {
-	x := &exploration{seen: map[uint64]bool{}}
-	first := &step{world: newWorld(b)}
+	x := &exploration{visited: map[uint64]bool{}}
+	first := &step{simulation: newSimulation(b)}
 	queue := []*step{first}
-	x.seen[xxhash.Sum64String(first.world.key())] = true
-	for len(queue) > 0 && x.found == "" && len(x.seen) < limit {
+	x.visited[xxhash.Sum64String(first.simulation.key())] = true
+	for len(queue) > 0 && x.violation == "" && len(x.visited) < limit {
 		at := queue[0]
 		queue[0] = nil
 		queue = queue[1:]
@@ -54,38 +54,38 @@
 	return x
 }
 
-// expand returns the new states after one more step.
+// expand returns the unvisited states that follow a step.
 func (x *exploration) expand(at *step) []*step {
-	list := at.world.choices()
-	if len(list) == 0 && at.world.quiet {
-		if wrong := at.world.end(); wrong != "" {
-			x.found = wrong + ":\n" + at.trace()
+	list := at.simulation.choices()
+	if len(list) == 0 && at.simulation.faultFree {
+		if wrong := at.simulation.checkEnd(); wrong != "" {
+			x.violation = wrong + ":\n" + at.trace()
 		}
 	}
 	var next []*step
 	for i := range list {
-		s := &step{world: at.world.clone(), name: list[i].name, back: at}
-		s.world.choices()[i].do()
-		if s.world.starts > 1 {
-			x.found = "started twice:\n" + s.trace()
+		s := &step{simulation: at.simulation.clone(), name: list[i].name, previous: at}
+		s.simulation.choices()[i].do()
+		if s.simulation.starts > 1 {
+			x.violation = "started twice:\n" + s.trace()
 			return nil
 		}
-		key := xxhash.Sum64String(s.world.key())
-		if !x.seen[key] {
-			x.seen[key] = true
+		key := xxhash.Sum64String(s.simulation.key())
+		if !x.visited[key] {
+			x.visited[key] = true
 			next = append(next, s)
 		}
 	}
-	at.world = nil
+	at.simulation = nil
 	return next
 }
 
-// clone copies all that a step may change.
-func (w *world) clone() *world {
-	c := *w
-	c.messages, c.crashed = slices.Clone(w.messages), slices.Clone(w.crashed)
+// clone copies everything that a choice may change.
+func (sim *simulation) clone() *simulation {
+	c := *sim
+	c.messages, c.crashed = slices.Clone(sim.messages), slices.Clone(sim.crashed)
 	c.nodes = map[job.EntryID]*exploreNode{}
-	for id, n := range w.nodes {
+	for id, n := range sim.nodes {
 		c.nodes[id] = n.clone()
 	}
 	return &c
@@ -101,57 +101,58 @@
 			c.table.records[id] = append(c.table.records[id], &copied)
 		}
 	}
-	memory := *n.memory
-	memory.bases, memory.lives, memory.done = slices.Clone(memory.bases), maps.Clone(memory.lives), maps.Clone(memory.done)
-	memory.deaths, memory.losses = slices.Clone(memory.deaths), slices.Clone(memory.losses)
-	c.memory = &memory
-	owned := *n.owned
-	owned.entries = map[job.ID]*own{}
-	c.owned = &owned
+	completeness := *n.completeness
+	completeness.liveSets, completeness.incarnations, completeness.syncedSets = slices.Clone(completeness.liveSets), maps.Clone(completeness.incarnations), maps.Clone(completeness.syncedSets)
+	completeness.lostEntries, completeness.losses = slices.Clone(completeness.lostEntries), slices.Clone(completeness.losses)
+	c.completeness = &completeness
+	ownerTable := *n.ownerTable
+	ownerTable.submissions = map[job.ID]*ownedSubmission{}
+	c.ownerTable = &ownerTable
 	if n.claim == nil {
 		return &c
 	}
 	claim := *n.claim
-	entry := *claim.own
+	entry := *claim.ownedSubmission
 	entry.decided = make(chan struct{})
-	claim.own = &entry
-	if n.owned.entries[entry.id] != nil {
-		owned.entries[entry.id] = &entry
+	claim.ownedSubmission = &entry
+	if n.ownerTable.submissions[entry.id] != nil {
+		ownerTable.submissions[entry.id] = &entry
 	}
 	inner := *claim.claim
-	inner.given, inner.moved, inner.joined = maps.Clone(inner.given), maps.Clone(inner.moved), maps.Clone(inner.joined)
-	inner.asks = map[job.EntryID]*ask{}
-	for id, a := range claim.claim.asks {
+	inner.withdrawn, inner.redirected, inner.confirmed = maps.Clone(inner.withdrawn), maps.Clone(inner.redirected), maps.Clone(inner.confirmed)
+	inner.queries = map[job.EntryID]*query{}
+	for id, a := range claim.claim.queries {
 		copied := *a
-		inner.asks[id] = &copied
+		inner.queries[id] = &copied
 	}
 	claim.claim = &inner
 	c.claim = &claim
 	return &c
 }
 
-// end checks a run without crash and loss that has come to its end.
-func (w *world) end() string {
-	if w.starts != 1 {
-		return fmt.Sprintf("%d starts", w.starts)
+// checkEnd checks the final state of a run without crashes and lost messages. It
+// returns a description of the violation, if any.
+func (sim *simulation) checkEnd() string {
+	if sim.starts != 1 {
+		return fmt.Sprintf("%d starts", sim.starts)
 	}
-	for _, id := range w.bounds.claims {
+	for _, id := range sim.bounds.claims {
 		at := id
 		for range exploreNames {
-			c := w.nodes[at].claim
+			c := sim.nodes[at].claim
 			if c == nil || c.open {
 				return fmt.Sprintf("the claim at %s is undecided", at)
 			}
-			if c.decided.kind == verdictStart {
+			if c.result.kind == resultStart {
 				break
 			}
-			if c.decided.kind != verdictJoin {
-				return fmt.Sprintf("the claim at %s ended as %d", at, c.decided.kind)
+			if c.result.kind != resultJoin {
+				return fmt.Sprintf("the claim at %s ended with result %d", at, c.result.kind)
 			}
-			at = c.decided.owner.Entry
+			at = c.result.owner.Entry
 		}
-		if w.nodes[at].claim.decided.kind != verdictStart {
-			return fmt.Sprintf("the joins from %s lead in a circle", id)
+		if sim.nodes[at].claim.result.kind != resultStart {
+			return fmt.Sprintf("the joins from %s form a cycle", id)
 		}
 	}
 	return ""
@@ -173,9 +174,8 @@
 	return ids
 }
 
-// Whatever the order in which messages arrive, are lost, and entries die and
-// return, no submission may start twice, and no two entries may wait for each
-// other's answer.
+// Messages arrive in any order or are lost, and entries crash and restart. No
+// submission may start twice, and no two entries may wait for each other's answer.
 func TestEveryInterleaving(t *testing.T) {
 	scenarios := []struct {
 		name string
@@ -183,13 +183,13 @@
 	}{
 		{"two claims at once", bounds{claims: []job.EntryID{"a", "b"}}},
 		{"three claims at once", bounds{claims: []job.EntryID{"a", "b", "c"}}},
-		{"two claims and a loss", bounds{claims: []job.EntryID{"a", "b"}, losses: 1}},
-		{"two claims, the first owner dies", bounds{claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"a"}}},
-		{"two claims, a registrar dies", bounds{claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"c"}}},
-		{"a registrar dies and returns", bounds{claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"c"}, returns: true}},
-		{"the owner dies and returns", bounds{claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"a"}, returns: true}},
-		{"owner and registrar die", bounds{claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"a", "c"}}},
-		{"the owner dies and a loss", bounds{claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"a"}, losses: 1}},
+		{"two claims and a lost message", bounds{claims: []job.EntryID{"a", "b"}, losses: 1}},
+		{"two claims, the first owner crashes", bounds{claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"a"}}},
+		{"two claims, a registrar crashes", bounds{claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"c"}}},
+		{"a registrar crashes and restarts", bounds{claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"c"}, restarts: true}},
+		{"the owner crashes and restarts", bounds{claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"a"}, restarts: true}},
+		{"owner and registrar crash", bounds{claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"a", "c"}}},
+		{"the owner crashes and a message is lost", bounds{claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"a"}, losses: 1}},
 	}
 	for _, scenario := range scenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -199,8 +199,8 @@
 				b := scenario.bounds
 				b.id = id
 				x := explore(b, *exploreLimit/raceDivisor)
-				qt.Assert(t, x.found, qt.Equals, "", qt.Commentf("registrars %v\n%s", membership.Rank(exploreNames, string(id)), x.found))
-				total += len(x.seen)
+				qt.Assert(t, x.violation, qt.Equals, "", qt.Commentf("registrars %v\n%s", membership.Rank(exploreNames, string(id)), x.violation))
+				total += len(x.visited)
 				if x.complete {
 					complete++
 				}
@@ -210,36 +210,36 @@
 	}
 }
 
-// seededLimit is enough for each seeded fault.
+// seededLimit is the number of states within which every seeded fault is found.
 const seededLimit = 25_000
 
-// An explorer that finds nothing proves something only if it finds what is
-// wrong: each of these errors starts a submission twice.
+// Each seeded fault starts a submission twice. The explorer must find all of them;
+// otherwise finding no violation in the real protocol would prove nothing.
 func TestSeededFaultsAreFound(t *testing.T) {
 	faults := map[string]bounds{
-		"registrars speak before they have synced": {fault: trustUnsynced, claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"c", "a"}, returns: true},
-		"an owner starts what it gave up":          {fault: forgetYield, claims: []job.EntryID{"a", "b"}},
-		"a lost owner's submission starts again":   {fault: restartLost, claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"a"}},
-		"a claim replaces any record":              {fault: replaceAny, claims: []job.EntryID{"a", "b"}},
+		"registrars answer before they have synced": {fault: trustUnsynced, claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"c", "a"}, restarts: true},
+		"an owner starts after yielding":            {fault: forgetYield, claims: []job.EntryID{"a", "b"}},
+		"a lost owner's submission starts again":    {fault: restartLost, claims: []job.EntryID{"a", "b"}, crashes: []job.EntryID{"a"}},
+		"a claim replaces any record":               {fault: replaceAny, claims: []job.EntryID{"a", "b"}},
 	}
 	for name, b := range faults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			found := ""
+			violation := ""
 			for _, id := range idsByRegistrars() {
 				b.id = id
-				if x := explore(b, seededLimit); x.found != "" {
-					found = x.found
-					t.Logf("found after %d states: %s", len(x.seen), strings.ReplaceAll(found, "\n", "; "))
+				if x := explore(b, seededLimit); x.violation != "" {
+					violation = x.violation
+					t.Logf("found after %d states: %s", len(x.visited), strings.ReplaceAll(violation, "\n", "; "))
 					break
 				}
 			}
-			qt.Assert(t, found, qt.Not(qt.Equals), "")
+			qt.Assert(t, violation, qt.Not(qt.Equals), "")
 		})
 	}
 }
 
-// String names a message the same way in each run.
+// String describes a message identically in every run.
 func (m exploreMessage) String() string {
 	kind := fmt.Sprint("settle ", m.settle != nil)
 	switch {
@@ -252,7 +252,7 @@
 	case m.yield != nil:
 		kind = "yield " + claimantName(m.yield)
 	}
-	return fmt.Sprintf("%s/%d>%s/%d %s #%d", m.from.Entry, m.from.Incarnation, m.to.Entry, m.to.Incarnation, kind, m.number)
+	return fmt.Sprintf("%s/%d>%s/%d %s #%d", m.from.Entry, m.from.Incarnation, m.to.Entry, m.to.Incarnation, kind, m.claimNumber)
 }
 
 func claimantName(c *Claimant) string {
@@ -271,21 +271,21 @@
 	return strings.Join(names, ",")
 }
 
-// key is the state in a canonical form.
-func (w *world) key() string {
+// key returns the state in a canonical form.
+func (sim *simulation) key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, w.next, w.losses, w.crashed, w.starts, w.quiet)
-	messages := make([]string, len(w.messages))
-	for i := range w.messages {
-		messages[i] = w.messages[i].String()
+	fmt.Fprint(&b, sim.nextClaim, sim.losses, sim.crashed, sim.starts, sim.faultFree)
+	messages := make([]string, len(sim.messages))
+	for i := range sim.messages {
+		messages[i] = sim.messages[i].String()
 	}
 	slices.Sort(messages)
 	fmt.Fprint(&b, messages)
 	for _, id := range exploreNames {
-		n := w.nodes[id]
-		fmt.Fprint(&b, "|", n.alive, n.owner.Incarnation, n.memory.bases, n.memory.lives, n.memory.synced, n.memory.deaths, n.memory.losses, n.pulled)
+		n := sim.nodes[id]
+		fmt.Fprint(&b, "|", n.alive, n.owner.Incarnation, n.completeness.liveSets, n.completeness.incarnations, n.completeness.synced, n.completeness.lostEntries, n.completeness.losses, n.pulled)
 		var records []string
-		for _, k := range n.table.records[w.bounds.id] {
+		for _, k := range n.table.records[sim.bounds.id] {
 			records = append(records, claimantName(&k.By))
 		}
 		slices.Sort(records)
@@ -294,12 +294,12 @@
 			fmt.Fprint(&b, m.State, m.Incarnation)
 		}
 		if c := n.claim; c != nil {
-			fmt.Fprint(&b, " claim", c.open, c.asking, c.retries, c.own.state, c.own.yielded, c.decided.kind, c.decided.owner)
-			for _, entry := range c.claim.order() {
-				a := c.claim.asks[entry]
+			fmt.Fprint(&b, " claim", c.open, c.askingRival, c.retries, c.ownedSubmission.state, c.ownedSubmission.yielded, c.result.kind, c.result.owner)
+			for _, entry := range c.claim.askedRegistrars() {
+				a := c.claim.queries[entry]
 				fmt.Fprint(&b, entry, a.state, a.standing, recordNames(a.held))
 			}
-			fmt.Fprint(&b, c.claim.given, c.claim.moved, c.claim.joined)
+			fmt.Fprint(&b, c.claim.withdrawn, c.claim.redirected, c.claim.confirmed)
 		}
 	}
 	return b.String()
--- a/internal/registrar/fleet_test.go
+++ b/internal/registrar/fleet_test.go
@@ -17,8 +17,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer/peertest"
 )
 
-// entry is one process of the test fleet: it owns submissions and runs each for
-// a while in place of its targets.
+// entry is one process of the test fleet. It owns submissions and simulates their
+// targets: each submission runs for fleet.runTime.
 type entry struct {
 	fleet     *fleet
 	owner     job.Owner
@@ -28,26 +28,26 @@
 	stop      context.CancelFunc
 
 	mu      sync.Mutex
-	running map[job.ID]*work
+	running map[job.ID]*runningSubmission
 }
 
-// work is a submission on its way through an entry.
-type work struct {
+// runningSubmission is a submission that an entry is processing.
+type runningSubmission struct {
 	done   chan struct{}
 	answer job.Answer
 }
 
-// retain is short, since each second of it costs heartbeats of all entries.
+// retain is short because every simulated second costs heartbeats of all entries.
 const retain = 40 * time.Second
 
 type fleet struct {
-	t       *testing.T
-	net     *peertest.Network
-	zones   map[job.EntryID]job.Zone
-	entries map[job.EntryID]*entry
-	life    job.Incarnation
-	takes   time.Duration
-	// onDemand is as in Options.
+	t               *testing.T
+	net             *peertest.Network
+	zones           map[job.EntryID]job.Zone
+	entries         map[job.EntryID]*entry
+	lastIncarnation job.Incarnation
+	runTime         time.Duration
+	// onDemand is passed on to Options.OnDemand.
 	onDemand bool
 
 	mu     sync.Mutex
@@ -56,43 +56,43 @@
 
 var twoZones = map[job.EntryID]job.Zone{"a": "z", "b": "z", "c": "z", "d": "y", "e": "y"}
 
-// withFleet plays a test with records that are collected at each change, and with records
-// that are collected while ids are claimed.
+// withFleet runs a test twice: with records collected on each change of the live entries, and
+// with records collected only while ids are claimed.
 func withFleet(t *testing.T, zones map[job.EntryID]job.Zone, test func(f *fleet)) {
-	t.Run("always", func(t *testing.T) { playFleet(t, zones, false, test) })
-	t.Run("on demand", func(t *testing.T) { playFleet(t, zones, true, test) })
+	t.Run("always", func(t *testing.T) { runFleet(t, zones, false, test) })
+	t.Run("on demand", func(t *testing.T) { runFleet(t, zones, true, test) })
 }
 
-func playFleet(t *testing.T, zones map[job.EntryID]job.Zone, onDemand bool, test func(f *fleet)) {
+func runFleet(t *testing.T, zones map[job.EntryID]job.Zone, onDemand bool, test func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fleet{
 			onDemand: onDemand,
-			t:        t, net: &peertest.Network{Delay: time.Millisecond}, zones: zones, takes: 300 * time.Millisecond,
+			t:        t, net: &peertest.Network{Delay: time.Millisecond}, zones: zones, runTime: 300 * time.Millisecond,
 			entries: map[job.EntryID]*entry{}, starts: map[job.ID]int{},
 		}
 		defer func() {
-			f.pass(time.Minute)
+			f.advance(time.Minute)
 			for id := range f.entries {
 				f.kill(id)
 			}
-			f.pass(time.Minute)
+			f.advance(time.Minute)
 		}()
 		for id := range zones {
 			f.start(id)
 		}
-		f.pass(retain + 5*time.Second) // the zones' memory is no longer young
+		f.advance(retain + 5*time.Second) // the zones' records go back the full retention time
 		test(f)
 	})
 }
 
-func (f *fleet) pass(d time.Duration) {
+func (f *fleet) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
 func (f *fleet) start(id job.EntryID) *entry {
-	f.life++
-	e := &entry{fleet: f, owner: job.Owner{Entry: id, Incarnation: f.life, Zone: f.zones[id]}, running: map[job.ID]*work{}}
+	f.lastIncarnation++
+	e := &entry{fleet: f, owner: job.Owner{Entry: id, Incarnation: f.lastIncarnation, Zone: f.zones[id]}, running: map[job.ID]*runningSubmission{}}
 	mesh := f.net.Join(e.owner)
 	var peers []membership.Peer
 	for other, zone := range f.zones {
@@ -109,7 +109,7 @@
 	return e
 }
 
-// kill ends an entry without a word.
+// kill stops an entry abruptly, without announcing it to the others.
 func (f *fleet) kill(id job.EntryID) {
 	f.entries[id].stop()
 	f.net.Leave(id)
@@ -137,8 +137,9 @@
 	return s
 }
 
-// submit sends a submission to an entry as a caller does and tells how it went.
-// As in the pipeline, a second one of an id that is on its way joins the first.
+// submit sends a submission to an entry like a caller and returns a description of
+// the result. As in the pipeline, a second submission of an id that is being
+// processed joins the first.
 func (e *entry) submit(s *job.Submission) string {
 	e.mu.Lock()
 	w := e.running[s.ID]
@@ -147,7 +148,7 @@
 		<-w.done
 		return "joined " + string(w.answer.Outcome)
 	}
-	w = &work{done: make(chan struct{})}
+	w = &runningSubmission{done: make(chan struct{})}
 	e.running[s.ID] = w
 	e.mu.Unlock()
 	var result string
@@ -190,21 +191,22 @@
 	f.mu.Lock()
 	f.starts[s.ID]++
 	f.mu.Unlock()
-	time.Sleep(f.takes)
+	time.Sleep(f.runTime)
 	a := job.Answer{ID: s.ID, Outcome: job.Complete, Results: []json.RawMessage{json.RawMessage(`"r"`)}}
 	e.registrar.Settle(context.Background(), s.ID, a)
 	return a
 }
 
-// send submits in the background; the result comes on the channel.
-func (e *entry) send(s *job.Submission) <-chan string {
+// submitAsync submits in the background and returns a channel that receives the
+// result.
+func (e *entry) submitAsync(s *job.Submission) <-chan string {
 	got := make(chan string, 1)
 	go func() { got <- e.submit(s) }()
 	return got
 }
 
-// check fails the test when a submission started more than once.
-func (f *fleet) check() {
+// checkStartedOnce fails the test if a submission started more than once.
+func (f *fleet) checkStartedOnce() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, n := range f.starts {
@@ -212,9 +214,8 @@
 	}
 }
 
-// each runs a test for several ids, so that each entry is at each place of
-// their ranks.
-func each(prefix string) []job.ID {
+// manyIDs returns enough ids that each entry has each rank for some of them.
+func manyIDs(prefix string) []job.ID {
 	var ids []job.ID
 	for i := range 12 {
 		ids = append(ids, job.ID(fmt.Sprint(prefix, i)))
--- a/internal/registrar/messages.go
+++ b/internal/registrar/messages.go
@@ -6,44 +6,46 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Standing is what a registrar's silence on an id is worth.
+// Standing says how far a registrar's missing record of an id proves that the id
+// was never started.
 type Standing uint8
 
 // The standings.
 const (
-	// Authoritative: an id that this registrar does not know was not started in
-	// its zone within the time that records are kept.
+	// Authoritative: an id without a record was not started in the registrar's
+	// zone within the retention time of records.
 	Authoritative Standing = iota + 1
-	// Unsynced: the registrar has not yet got the records that others hold.
+	// Unsynced: the registrar has not yet received the records that others hold.
 	Unsynced
-	// Cold: the zone's memory is younger than the time that records are kept.
+	// Cold: the zone's records go back less than the retention time.
 	Cold
-	// Lost: both entries that would know the id were lost at once.
+	// Lost: both registrars of the id were lost at once.
 	Lost
 )
 
-// Claimant is one claim of one entry. An entry that claims an id again, after
-// it gave it up, is another claimant: without the number, an entry that was
-// told that the first claim is void could replace the second one, and both
-// would start the submission.
+// Claimant identifies one claim of one entry. An entry that claims an id again
+// after withdrawing its first claim is a new claimant. Without the number, an
+// entry that learned that the first claim is void could replace the second one,
+// and both entries would start the submission.
 type Claimant struct {
 	Owner  job.Owner `cbor:"1,keyasint"`
 	Number uint64    `cbor:"2,keyasint"`
 }
 
-// Record says who owns a submission.
+// Record names the claimant of a submission.
 type Record struct {
 	ID     job.ID     `cbor:"1,keyasint"`
 	Digest job.Digest `cbor:"2,keyasint"`
 	By     Claimant   `cbor:"3,keyasint"`
-	// Answer is the submission's end where it is short enough to be kept here.
+	// Answer is the submission's answer, if it is small enough to be kept by
+	// registrars.
 	Answer *job.Answer `cbor:"4,keyasint,omitempty"`
-	// Age is how long ago the record was made; it is filled in on the wire.
+	// Age is the time since the record was made; it is set only in messages.
 	Age time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// claimRequest asks a registrar to record a claimant. Replace names those
-// that gave the submission up, whose records the new one takes over.
+// claimRequest asks a registrar to record a claimant. Replace lists claimants
+// that withdrew; the new record replaces theirs.
 type claimRequest struct {
 	ID      job.ID     `cbor:"1,keyasint"`
 	Digest  job.Digest `cbor:"2,keyasint"`
@@ -51,72 +53,76 @@
 	Replace []Claimant `cbor:"4,keyasint,omitempty"`
 }
 
-// claimReply grants the claim when Held is empty, and names the records of all
-// other claimants otherwise.
+// claimReply grants the claim when Held is empty. Otherwise Held contains the
+// records of all other claimants.
 type claimReply struct {
 	Held     []Record `cbor:"1,keyasint,omitempty"`
 	Standing Standing `cbor:"2,keyasint"`
 }
 
-// settleMessage tells registrars how a submission ended. Without an answer the
-// record is dropped: nothing of it ran.
+// settleMessage reports to registrars how a submission ended. Without an answer,
+// nothing of the submission ran and the record is dropped.
 type settleMessage struct {
 	ID     job.ID      `cbor:"1,keyasint"`
 	By     Claimant    `cbor:"2,keyasint"`
 	Answer *job.Answer `cbor:"3,keyasint,omitempty"`
 }
 
-// yieldRequest asks the owner in a record whether the submission is its own.
+// yieldRequest asks the owner named in a record whether it owns the submission.
 type yieldRequest struct {
 	ID job.ID `cbor:"1,keyasint"`
-	// Digest is the content that the asking entry would start.
+	// Digest identifies the content that the asking entry would start.
 	Digest job.Digest `cbor:"2,keyasint"`
-	// Of is the life of the entry that is meant.
+	// Of is the incarnation of the entry to which the question applies.
 	Of job.Owner `cbor:"3,keyasint"`
 }
 
-// yieldVerdict is the owner's word.
-type yieldVerdict uint8
+// yieldResult is the reply of the asked owner.
+type yieldResult uint8
 
 const (
-	// yieldMine: the asked entry owns it, or will; the asking one joins it.
-	yieldMine yieldVerdict = iota + 1
-	// yieldYours: the asked entry had not started it and gives it up.
-	yieldYours
-	// yieldUnknown: the asked entry does not have it in this life; it never
-	// started it, or nothing of it ran.
+	// yieldRefused: the asked entry owns the submission or will own it; the
+	// asking entry joins it.
+	yieldRefused yieldResult = iota + 1
+	// yieldGranted: the asked entry has not started the submission and yields its
+	// claim to the asking entry.
+	yieldGranted
+	// yieldUnknown: this incarnation of the asked entry doesn't have the
+	// submission; it never started it, or nothing of it ran.
 	yieldUnknown
-	// yieldMoved: the asked entry had given it up to To before. Joining the asked
-	// one could close a circle of entries that join each other.
-	yieldMoved
+	// yieldRedirected: the asked entry had already yielded its claim to To.
+	// Joining the asked entry could close a cycle of entries that join each other.
+	yieldRedirected
 )
 
 type yieldReply struct {
-	Verdict yieldVerdict `cbor:"1,keyasint"`
-	To      job.Owner    `cbor:"2,keyasint,omitempty"`
+	Verdict yieldResult `cbor:"1,keyasint"`
+	To      job.Owner   `cbor:"2,keyasint,omitempty"`
 }
 
 // syncRequest asks for the records that For keeps when the zone's live entries
-// are Base, from Shard on.
+// are Base, starting with Shard.
 type syncRequest struct {
 	For   job.EntryID   `cbor:"1,keyasint"`
 	Base  []job.EntryID `cbor:"2,keyasint"`
 	Shard int           `cbor:"3,keyasint"`
-	// Done, when set, is no question: For has synced for the live entries whose
-	// digest is Set.
+	// Done marks an announcement in place of a question: For has synced for the
+	// live entries whose digest is Set.
 	Done bool   `cbor:"4,keyasint,omitempty"`
 	Set  uint64 `cbor:"5,keyasint,omitempty"`
-	// Claimed is for how long ids count as claimed in the zone.
+	// Claimed is how much longer ids count as claimed in the zone.
 	Claimed time.Duration `cbor:"6,keyasint,omitempty"`
 }
 
 type syncReply struct {
 	Records []Record `cbor:"1,keyasint,omitempty"`
-	// Cold is how long the sender's memory still counts as young.
+	// Cold is the remaining time until the sender's records go back the full
+	// retention time.
 	Cold time.Duration `cbor:"2,keyasint,omitempty"`
-	// Losses are what the sender knows to be lost. They come with the last shard.
+	// Losses are the losses known to the sender. They are sent with the last
+	// shard.
 	Losses []lossMessage `cbor:"3,keyasint,omitempty"`
-	// Next is the shard to ask for next; shardCount after the last one.
+	// Next is the shard to request next; it is shardCount after the last shard.
 	Next int `cbor:"4,keyasint"`
 }
 
@@ -126,7 +132,8 @@
 	Left time.Duration `cbor:"3,keyasint"`
 }
 
-// joinRequest waits for the answer of a submission that runs at another entry.
+// joinRequest asks for the answer of a submission that the receiver owns. The
+// reply is sent when the submission has ended.
 type joinRequest struct {
 	ID job.ID `cbor:"1,keyasint"`
 }
--- a/internal/registrar/owned.go
+++ b/internal/registrar/owned.go
@@ -7,166 +7,173 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// ownState is how far this entry is with a submission that it wants to own.
-type ownState uint8
+// ownerState is the state of a submission that this entry claims or owns.
+type ownerState uint8
 
 const (
-	// ownPending: registrars are being asked and nothing has started.
-	ownPending ownState = iota + 1
-	// ownOwned: tasks may have started.
-	ownOwned
-	// ownSettled: the submission has ended.
-	ownSettled
+	// ownerPending: registrars are being asked; no task has started.
+	ownerPending ownerState = iota + 1
+	// ownerStarted: tasks may have started.
+	ownerStarted
+	// ownerSettled: the submission has ended.
+	ownerSettled
 )
 
-// own is one submission at the entry that wants to own it, or does.
-type own struct {
-	id      job.ID
-	digest  job.Digest
-	number  uint64
-	state   ownState
+// ownedSubmission is a submission that this entry claims or owns.
+type ownedSubmission struct {
+	id          job.ID
+	digest      job.Digest
+	claimNumber uint64
+	state       ownerState
+	// yielded is the entry to which this entry yielded its claim, if any.
 	yielded job.Owner
-	// registrars granted the claim; they get the news of its end.
+	// registrars are the entries that granted the claim. They are notified when
+	// the submission ends.
 	registrars []job.EntryID
 	answer     *job.Answer
-	bytes      int
-	at         time.Time
-	// decided is closed when the claim is no longer pending.
+	bytes      int // size of answer
+	settledAt  time.Time
+	// decided is closed when the claim stops being pending.
 	decided chan struct{}
 }
 
-// owned holds the submissions of this entry. It is pure but for the channel
-// that wakes a second caller of the same id; its owner holds a lock.
+// ownerTable holds the submissions that this entry claims or owns. It takes no
+// locks and performs no I/O, except that it closes the channel that wakes a second
+// caller of the same id; callers hold the shard's lock.
 //
-// It is the one place that decides that a submission starts here: start and
-// yield exclude each other under the lock.
-type owned struct {
-	self    job.Owner
-	entries map[job.ID]*own
+// Only ownerTable decides that a submission starts on this entry: start and yield
+// exclude each other under the lock.
+type ownerTable struct {
+	self        job.Owner
+	submissions map[job.ID]*ownedSubmission
 	// settled lists ended submissions, and answers those whose answer is still
-	// held, oldest first.
-	settled []*own
-	answers []*own
+	// kept, both oldest first.
+	settled []*ownedSubmission
+	answers []*ownedSubmission
 	bytes   int
-	// next numbers the claims of this life.
-	next uint64
+	// lastNumber is the number of the latest claim of this incarnation.
+	lastNumber uint64
 }
 
-func newOwned(self job.Owner) *owned {
-	return &owned{self: self, entries: map[job.ID]*own{}}
+func newOwnerTable(self job.Owner) *ownerTable {
+	return &ownerTable{self: self, submissions: map[job.ID]*ownedSubmission{}}
 }
 
-// begin makes an entry for a new claim; where there is one already, it returns
-// that with isNew false.
-func (o *owned) begin(id job.ID, digest job.Digest) (e *own, isNew bool) {
-	if e := o.entries[id]; e != nil {
-		return e, false
+// begin adds a pending submission for a new claim. If the id is already present,
+// it returns the existing submission with isNew false.
+func (o *ownerTable) begin(id job.ID, digest job.Digest) (sub *ownedSubmission, isNew bool) {
+	if sub := o.submissions[id]; sub != nil {
+		return sub, false
 	}
-	o.next++
-	e = &own{id: id, digest: digest, number: o.next, state: ownPending, decided: make(chan struct{})}
-	o.entries[id] = e
-	return e, true
+	o.lastNumber++
+	sub = &ownedSubmission{id: id, digest: digest, claimNumber: o.lastNumber, state: ownerPending, decided: make(chan struct{})}
+	o.submissions[id] = sub
+	return sub, true
 }
 
-// by returns the claimant of an entry.
-func (o *owned) by(e *own) Claimant { return Claimant{o.self, e.number} }
+// claimant returns the claimant of a submission.
+func (o *ownerTable) claimant(sub *ownedSubmission) Claimant {
+	return Claimant{o.self, sub.claimNumber}
+}
 
-// start decides that the submission starts here. A claim that was yielded must
-// not come here: the entry that it was yielded to may have started it.
-func (o *owned) start(e *own, registrars []job.EntryID) {
-	if !e.yielded.IsZero() {
+// start marks the submission as started on this entry. It must not be called for
+// a yielded claim: the entry to which it was yielded may have started the
+// submission.
+func (o *ownerTable) start(sub *ownedSubmission, registrars []job.EntryID) {
+	if !sub.yielded.IsZero() {
 		panic("registrar: a yielded submission was about to start")
 	}
-	e.state, e.registrars = ownOwned, registrars
-	close(e.decided)
+	sub.state, sub.registrars = ownerStarted, registrars
+	close(sub.decided)
 }
 
-// drop ends a claim that did not start.
-func (o *owned) drop(e *own) {
-	delete(o.entries, e.id)
-	close(e.decided)
+// drop removes a claim whose submission did not start here.
+func (o *ownerTable) drop(sub *ownedSubmission) {
+	delete(o.submissions, sub.id)
+	close(sub.decided)
 }
 
-// asked answers another entry that found this one in a record. A claim of other
-// content is never yielded: its callers would be given the answer of a job that
-// they did not send.
-func (o *owned) asked(by job.Owner, req *yieldRequest) yieldReply {
-	if e := o.entries[req.ID]; e != nil && e.digest != req.Digest {
-		return yieldReply{Verdict: yieldMine}
+// answerYield answers the yield request of another entry that found this one in a
+// record. It never yields a claim of different content: its callers would receive
+// the answer of a job that they did not send.
+func (o *ownerTable) answerYield(by job.Owner, req *yieldRequest) yieldReply {
+	if sub := o.submissions[req.ID]; sub != nil && sub.digest != req.Digest {
+		return yieldReply{Verdict: yieldRefused}
 	}
 	return o.yield(by, req.ID)
 }
 
-// yield answers another entry that found this one in a record of id.
-func (o *owned) yield(by job.Owner, id job.ID) yieldReply {
-	e := o.entries[id]
+// yield yields a pending claim to another entry if that entry precedes this one,
+// and returns the reply.
+func (o *ownerTable) yield(by job.Owner, id job.ID) yieldReply {
+	sub := o.submissions[id]
 	switch {
-	case e == nil:
+	case sub == nil:
 		return yieldReply{Verdict: yieldUnknown}
-	case e.state != ownPending:
-		return yieldReply{Verdict: yieldMine}
-	case !e.yielded.IsZero() && e.yielded != by:
-		return yieldReply{Verdict: yieldMoved, To: e.yielded}
-	case before(by, o.self):
-		e.yielded = by
-		return yieldReply{Verdict: yieldYours}
+	case sub.state != ownerPending:
+		return yieldReply{Verdict: yieldRefused}
+	case !sub.yielded.IsZero() && sub.yielded != by:
+		return yieldReply{Verdict: yieldRedirected, To: sub.yielded}
+	case precedes(by, o.self):
+		sub.yielded = by
+		return yieldReply{Verdict: yieldGranted}
 	}
-	return yieldReply{Verdict: yieldMine}
+	return yieldReply{Verdict: yieldRefused}
 }
 
-// before is the order in which claims of one id that meet are served. It need
-// not be fair, only the same at both.
-func before(a, b job.Owner) bool {
+// precedes orders competing claims of one id: a wins over b. The order need not
+// be fair, but must be the same on both entries.
+func precedes(a, b job.Owner) bool {
 	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Entry, b.Entry), cmp.Compare(a.Incarnation, b.Incarnation)) < 0
 }
 
-// settle keeps the answer of an owned submission. A submission of which nothing
-// ran is forgotten instead, so that its id can be sent again.
-func (o *owned) settle(now time.Time, id job.ID, answer job.Answer) *own {
-	e := o.entries[id]
-	if e == nil || e.state != ownOwned {
+// settle stores the answer of an owned submission. If nothing of the submission
+// ran, settle removes it instead, so that its id can be sent again.
+func (o *ownerTable) settle(now time.Time, id job.ID, answer job.Answer) *ownedSubmission {
+	sub := o.submissions[id]
+	if sub == nil || sub.state != ownerStarted {
 		return nil
 	}
 	if answer.Run.Proven() {
-		delete(o.entries, id)
-		return e
+		delete(o.submissions, id)
+		return sub
 	}
-	e.state, e.answer, e.at = ownSettled, &answer, now
-	e.bytes = len(answer.Detail)
+	sub.state, sub.answer, sub.settledAt = ownerSettled, &answer, now
+	sub.bytes = len(answer.Detail)
 	for _, r := range answer.Results {
-		e.bytes += len(r)
+		sub.bytes += len(r)
 	}
-	o.bytes += e.bytes
-	o.settled = append(o.settled, e)
-	o.answers = append(o.answers, e)
-	return e
+	o.bytes += sub.bytes
+	o.settled = append(o.settled, sub)
+	o.answers = append(o.answers, sub)
+	return sub
 }
 
-// expire forgets ended submissions after retain, and drops the oldest answers
-// while they take more than limit bytes. That a submission was started stays
-// known as long as any registrar may name this entry for it.
-func (o *owned) expire(now time.Time, retain time.Duration, limit int) {
-	for len(o.answers) > 0 && (o.bytes > limit || now.Sub(o.answers[0].at) >= retain) {
-		e := o.answers[0]
-		o.bytes -= e.bytes
-		e.bytes, e.answer = 0, nil
+// expire removes ended submissions after retain, and drops the oldest answers
+// while the answers exceed limit bytes. A submission without its answer stays in
+// the table as long as a registrar may name this entry as its owner.
+func (o *ownerTable) expire(now time.Time, retain time.Duration, limit int) {
+	for len(o.answers) > 0 && (o.bytes > limit || now.Sub(o.answers[0].settledAt) >= retain) {
+		sub := o.answers[0]
+		o.bytes -= sub.bytes
+		sub.bytes, sub.answer = 0, nil
 		o.answers[0] = nil
 		o.answers = o.answers[1:]
 	}
-	for len(o.settled) > 0 && now.Sub(o.settled[0].at) >= retain {
-		delete(o.entries, o.settled[0].id)
+	for len(o.settled) > 0 && now.Sub(o.settled[0].settledAt) >= retain {
+		delete(o.submissions, o.settled[0].id)
 		o.settled[0] = nil
 		o.settled = o.settled[1:]
 	}
 }
 
-// export returns records of the submissions that were started here, for an
-// entry that collects what it must know as a registrar.
-func (o *owned) export(to job.EntryID, base []job.EntryID) []Record {
+// export returns records of the submissions started here that entry to keeps as a
+// registrar when the live entries are base.
+func (o *ownerTable) export(to job.EntryID, base []job.EntryID) []Record {
 	var list []Record
-	for id, e := range o.entries {
-		if e.state != ownPending && keeps(to, base, id) {
-			list = append(list, Record{ID: id, Digest: e.digest, By: o.by(e)})
+	for id, sub := range o.submissions {
+		if sub.state != ownerPending && storesRecord(to, base, id) {
+			list = append(list, Record{ID: id, Digest: sub.digest, By: o.claimant(sub)})
 		}
 	}
 	return list
--- a/internal/registrar/race_test.go
+++ b/internal/registrar/race_test.go
@@ -2,6 +2,6 @@
 
 package registrar
 
-// raceDivisor shortens the exploration under the race detector: it has one
-// goroutine, and would take ten times as long.
+// raceDivisor shortens the exploration under the race detector, which would take ten
+// times as long. An exploration has only one goroutine.
 const raceDivisor = 10
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -1,20 +1,20 @@
-// Package registrar keeps, in the memory of two entries of each availability
-// zone, who owns a submission, so that a caller that lost its answer may send
-// the same id again to any entry and nothing of it starts twice.
+// Package registrar records the owner of each submission in the memory of two
+// entries per availability zone. A caller that lost its answer can resend the
+// same id to any entry without any task starting twice.
 //
-// The load pattern is a caller or balancer that resends: over another entry
-// after a timeout, to two entries at once, after its owner died, or in another
-// zone. Without this package each resending would start all tasks again.
+// The load pattern is a caller or balancer that resends: through another entry
+// after a timeout, to two entries at once, after the owner died, or in another
+// zone. Without this package, each resubmission would start all tasks again.
 //
-// What holds, and for how long: records are kept for Options.Retain, ten
-// minutes by default, since callers resend within seconds or minutes. Every
-// task counts as perhaps started from the moment its owner's claim is granted:
-// the batches leave at once, and a second message for "handed out" would cost
-// as much as the claim and save only the submissions whose owner died in the
-// millisecond between. So a dead owner's submission is never started again; it
-// is answered from the results that its holders still have, or as one that may
-// have run. docs/spec/registrar.md lists the states and what one and two lost
-// entries leave true.
+// Records are kept for Options.Retain, ten minutes by default, because callers
+// resend within seconds or minutes. A task counts as possibly started as soon as
+// its owner's claim is granted. The batches are sent immediately afterwards; a
+// second message that marks them as handed out would cost as much as the claim
+// and would help only submissions whose owner died in the millisecond between.
+// A dead owner's submission is therefore never started again: it is answered
+// from the results that its holders still have, or as possibly run.
+// docs/spec/registrar.md lists the states and the guarantees that remain after
+// the loss of one or two entries.
 package registrar
 
 import (
@@ -35,43 +35,45 @@
 
 // The defaults of Options.
 const (
-	// DefaultRetain is how long a resubmission is recognised.
+	// DefaultRetain is the time during which a resubmission is recognised.
 	DefaultRetain = 10 * time.Minute
-	// DefaultAnswerBytes bounds the answers kept for callers that come back.
+	// DefaultAnswerBytes bounds the answers kept for resubmissions.
 	DefaultAnswerBytes = 16 << 20
-	// DefaultRecordBytes bounds the records kept as a registrar. With 64 MB for
-	// a whole daemon it is about 60,000 submissions.
+	// DefaultRecordBytes bounds the records kept as a registrar. It holds about
+	// 60,000 submissions and fits a daemon with 64 MB in total.
 	DefaultRecordBytes = 16 << 20
 )
 
-// smallAnswer is the longest answer, in payload bytes, that registrars keep
-// besides the owner: an alert's or a gauge snapshot's, not a picture's.
-const smallAnswer = 1 << 10
+// maxReplicatedAnswer is the size in payload bytes up to which registrars keep
+// an answer in addition to the owner. It fits an alert or a gauge snapshot, but
+// not a picture.
+const maxReplicatedAnswer = 1 << 10
 
-// shardCount is the number of locks over the records.
+// shardCount is the number of shards of the records, each with its own lock.
 const shardCount = 16
 
-// Kind is what a claim came to.
+// Kind is the kind of a Decision.
 type Kind uint8
 
-// The decisions.
+// The kinds of decisions.
 const (
-	// Own: nothing of the submission was ever started; this entry owns it now.
+	// Own: no task of the submission was ever started; this entry now owns it.
 	Own Kind = iota + 1
-	// Join: Owner has it; Registrar.Join waits for its answer.
+	// Join: Owner runs the submission; Registrar.Join waits for its answer.
 	Join
-	// Answered: it has ended with Answer.
+	// Answered: the submission has ended with Answer.
 	Answered
-	// TakeOver: its owner is lost. Started may have run and never start again,
-	// Held are results found, NeverHanded may start.
+	// TakeOver: the owner is lost. The tasks in Started may have run and must
+	// never start again, Held contains the results found, and the tasks in
+	// NeverHanded may start.
 	TakeOver
-	// Conflict: the id names a submission with other content.
+	// Conflict: the id belongs to a submission with different content.
 	Conflict
-	// Unknown: nobody in reach can tell whether it was started.
+	// Unknown: no reachable entry knows whether the submission was started.
 	Unknown
 )
 
-// Decision is what a claim came to.
+// Decision is the result of a claim.
 type Decision struct {
 	Kind        Kind
 	Owner       job.Owner
@@ -81,12 +83,12 @@
 	NeverHanded []int
 	Reason      job.Reason
 	Detail      string
-	// NotRun is set on Unknown where the caller's own word, a first attempt,
+	// NotRun is set on Unknown where the caller declared a first attempt, which
 	// proves that nothing ran.
 	NotRun bool
 }
 
-// Members is the view of the entries.
+// Members provides the current view of the entries and reports its changes.
 type Members interface {
 	View() membership.Members
 	OnChange(func(membership.Members))
@@ -99,47 +101,49 @@
 	Log     *slog.Logger
 	Events  timeline.Sink
 	Retain  time.Duration
-	// AnswerBytes and RecordBytes bound the memory of answers and records.
+	// AnswerBytes and RecordBytes bound the memory used by answers and records.
 	AnswerBytes int
 	RecordBytes int
-	// Wait returns the answer of a submission that runs here; ok is false when
-	// none does.
+	// Wait waits for the answer of a submission that runs on this entry; ok is
+	// false when no such submission runs here.
 	Wait func(ctx context.Context, id job.ID) (a job.Answer, ok bool)
 	// Fetch collects the results of a lost owner's submission from holders.
 	Fetch func(ctx context.Context, owner job.Owner, id job.ID) []job.TaskOutcome
-	// OnDemand has records collected only while ids are claimed in the zone.
+	// OnDemand restricts the collection of records to times when ids are claimed
+	// in the zone.
 	OnDemand bool
 }
 
-// Registrar is this entry's part: it claims submissions for this entry and
-// keeps records for others.
+// Registrar claims submissions for this entry and keeps records of the claims of
+// all entries.
 type Registrar struct {
-	opts   Options
-	self   job.Owner
-	shards [shardCount]shard
-	wake   chan struct{} // records must be asked for again
-
-	mu      sync.Mutex
-	memory  *memory
-	changed chan struct{} // closed and replaced when the view changes
-
-	// claimedUntil is until when ids count as claimed in the zone.
-	claimedUntil time.Time
-
-	outMu sync.Mutex
-	// out are the ends of submissions that wait to be told, by registrar; flush wakes who
-	// tells them.
-	out   map[job.EntryID][]settleMessage
-	flush chan struct{}
+	opts       Options
+	self       job.Owner
+	shards     [shardCount]shard
+	syncNeeded chan struct{} // signals that records must be collected again
+
+	mu           sync.Mutex
+	completeness *completeness
+	changed      chan struct{} // closed and replaced when the view changes
+
+	// claimsActiveUntil is the time until which ids count as claimed in the zone.
+	claimsActiveUntil time.Time
+
+	pendingMu sync.Mutex
+	// pendingSettles holds the settle messages to be sent, by registrar;
+	// flushNeeded wakes flushLoop, which sends them.
+	pendingSettles map[job.EntryID][]settleMessage
+	flushNeeded    chan struct{}
 }
 
 type shard struct {
-	mu    sync.Mutex
-	table *table
-	owned *owned
+	mu         sync.Mutex
+	table      *table
+	ownerTable *ownerTable
 }
 
-// New returns a registrar; call Run.
+// New returns a registrar and registers its message handlers. The caller must
+// call Run.
 func New(o Options) *Registrar {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -157,18 +161,18 @@
 		o.RecordBytes = DefaultRecordBytes
 	}
 	r := &Registrar{
-		opts: o, self: o.Mesh.Self(), wake: make(chan struct{}, 1),
-		changed: make(chan struct{}), out: map[job.EntryID][]settleMessage{}, flush: make(chan struct{}, 1),
+		opts: o, self: o.Mesh.Self(), syncNeeded: make(chan struct{}, 1),
+		changed: make(chan struct{}), pendingSettles: map[job.EntryID][]settleMessage{}, flushNeeded: make(chan struct{}, 1),
 	}
-	r.memory = newMemory(time.Now(), r.self.Entry, o.Retain)
+	r.completeness = newCompleteness(time.Now(), r.self.Entry, o.Retain)
 	for i := range r.shards {
 		r.shards[i].table = newTable()
-		r.shards[i].owned = newOwned(r.self)
+		r.shards[i].ownerTable = newOwnerTable(r.self)
 	}
 	view := o.Members.View()
-	r.memory.change(time.Now(), &view, !o.OnDemand)
+	r.completeness.applyView(time.Now(), &view, !o.OnDemand)
 	if !o.OnDemand {
-		r.signal()
+		r.requestSync()
 	}
 	o.Members.OnChange(r.viewChanged)
 	o.Mesh.Handle(peer.RegistrarClaim, r.handleClaim)
@@ -183,9 +187,9 @@
 
 func (r *Registrar) shard(id job.ID) *shard { return &r.shards[shardOf(id)] }
 
-func (r *Registrar) signal() {
+func (r *Registrar) requestSync() {
 	select {
-	case r.wake <- struct{}{}:
+	case r.syncNeeded <- struct{}{}:
 	default:
 	}
 }
@@ -193,59 +197,59 @@
 func (r *Registrar) viewChanged(view membership.Members) {
 	r.mu.Lock()
 	now := time.Now()
-	claimed := r.claimed(now)
-	changed := r.memory.change(now, &view, claimed)
+	claimsActive := r.claimsActive(now)
+	changed := r.completeness.applyView(now, &view, claimsActive)
 	close(r.changed)
 	r.changed = make(chan struct{})
 	r.mu.Unlock()
-	if changed && claimed {
-		r.signal()
+	if changed && claimsActive {
+		r.requestSync()
 	}
 }
 
-// claimed reports whether ids are claimed in the zone, so that records must be kept where
-// they belong; the caller holds the lock.
-func (r *Registrar) claimed(now time.Time) bool {
-	return !r.opts.OnDemand || now.Before(r.claimedUntil)
+// claimsActive reports whether ids are claimed in the zone, in which case records must be
+// kept at their registrars. The caller holds r.mu.
+func (r *Registrar) claimsActive(now time.Time) bool {
+	return !r.opts.OnDemand || now.Before(r.claimsActiveUntil)
 }
 
-// noteClaims notes that ids are claimed in the zone, and collects records if they were not
-// before.
+// markClaimsActive marks ids as claimed in the zone for the given duration, and starts
+// collecting records if they were not marked before.
 //
-// Load pattern: each change of a zone's live entries has each of them ask all others for
-// records, which grows with the square of the zone. With thirty entries, of which one after
-// the other is restarted, that is a thousand calls for each step; where all jobs are
-// transient there is never a record to be had.
-func (r *Registrar) noteClaims(left time.Duration) {
-	if !r.opts.OnDemand || left <= 0 {
+// Load pattern: on each change of a zone's live entries, every entry asks all others for
+// records, so the number of calls grows with the square of the zone's size. A rolling restart
+// of thirty entries takes a thousand calls per step, although no records exist where all jobs
+// are transient.
+func (r *Registrar) markClaimsActive(duration time.Duration) {
+	if !r.opts.OnDemand || duration <= 0 {
 		return
 	}
 	now := time.Now()
 	r.mu.Lock()
-	first := !r.claimed(now)
-	if until := now.Add(left); until.After(r.claimedUntil) {
-		r.claimedUntil = until
+	wasInactive := !r.claimsActive(now)
+	if until := now.Add(duration); until.After(r.claimsActiveUntil) {
+		r.claimsActiveUntil = until
 	}
 	r.mu.Unlock()
-	if first {
-		r.signal()
+	if wasInactive {
+		r.requestSync()
 	}
 }
 
-// claimedFor is for how long ids count as claimed from now on.
-func (r *Registrar) claimedFor() time.Duration {
+// claimsActiveFor returns how much longer ids count as claimed in the zone.
+func (r *Registrar) claimsActiveFor() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Until(r.claimedUntil)
+	return time.Until(r.claimsActiveUntil)
 }
 
-// record answers a claim as a registrar. What not knowing the id is worth is
-// read before the record is looked for: a sync that ends in between would make
-// an old "not here" count as a new one.
-func (r *Registrar) record(req *claimRequest) *claimReply {
+// answerClaim answers a claim as a registrar. It determines the standing before
+// it looks up the record: if a sync completed between a lookup and a later
+// reading of the standing, an outdated "not found" would count as current.
+func (r *Registrar) answerClaim(req *claimRequest) *claimReply {
 	now := time.Now()
 	r.mu.Lock()
-	standing := r.memory.standing(now, req.ID)
+	standing := r.completeness.standing(now, req.ID)
 	r.mu.Unlock()
 	s := r.shard(req.ID)
 	s.mu.Lock()
@@ -259,8 +263,8 @@
 		return nil, errors.Annotate(err, "decoding a claim")
 	}
 	req.By.Owner = from
-	r.noteClaims(r.opts.Retain)
-	return r.record(&req), nil
+	r.markClaimsActive(r.opts.Retain)
+	return r.answerClaim(&req), nil
 }
 
 func (r *Registrar) handleYield(_ context.Context, from job.Owner, body cbor.RawMessage) (any, error) {
@@ -269,16 +273,16 @@
 		return nil, errors.Annotate(err, "decoding a request to yield")
 	}
 	if req.Of != r.self {
-		// This life of the entry knows nothing of what an earlier one started.
-		// To say "not mine" would drop the record of it, and the submission
-		// would start a second time. The asking entry waits until its view
-		// calls the earlier life over.
+		// This incarnation doesn't know what an earlier one started. If it
+		// answered yieldUnknown, the record would be dropped and the submission
+		// would start a second time. The asking entry waits until the earlier
+		// incarnation is gone from its view.
 		return nil, errors.Errorf("entry %s of incarnation %d is asked about incarnation %d", r.self.Entry, r.self.Incarnation, req.Of.Incarnation)
 	}
 	s := r.shard(req.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.owned.asked(from, &req), nil
+	return s.ownerTable.answerYield(from, &req), nil
 }
 
 func (r *Registrar) handleSettle(_ context.Context, from job.Owner, body cbor.RawMessage) (any, error) {
@@ -288,35 +292,36 @@
 	}
 	for i := range list {
 		list[i].By.Owner = from
-		r.settled(&list[i])
+		r.applySettle(&list[i])
 	}
 	return nil, nil
 }
 
-func (r *Registrar) settled(m *settleMessage) {
+func (r *Registrar) applySettle(m *settleMessage) {
 	s := r.shard(m.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.settle(m.ID, m.By, m.Answer)
 }
 
-// Settle says how an owned submission ended. Its answer is kept for a caller
-// that sends the id again; when nothing ran the id is free again.
+// Settle records how an owned submission ended and reports it to the registrars.
+// The answer is kept for callers that resend the id. If nothing ran, the id
+// becomes free again.
 func (r *Registrar) Settle(_ context.Context, id job.ID, answer job.Answer) {
 	s := r.shard(id)
 	s.mu.Lock()
-	e := s.owned.settle(time.Now(), id, answer)
+	owned := s.ownerTable.settle(time.Now(), id, answer)
 	s.mu.Unlock()
-	if e == nil {
+	if owned == nil {
 		return
 	}
-	m := settleMessage{ID: id, By: s.owned.by(e)}
+	m := settleMessage{ID: id, By: s.ownerTable.claimant(owned)}
 	switch {
 	case answer.Run.Proven():
-		r.tell(e.registrars, m)
-	case answerBytes(&answer) <= smallAnswer:
+		r.sendSettle(owned.registrars, m)
+	case answerBytes(&answer) <= maxReplicatedAnswer:
 		m.Answer = &answer
-		r.tell(e.registrars, m)
+		r.sendSettle(owned.registrars, m)
 	}
 }
 
@@ -328,38 +333,39 @@
 	return n
 }
 
-// maxTold bounds the ends that wait for one registrar.
-const maxTold = 4096
+// maxPendingSettles bounds the settle messages queued for one registrar.
+const maxPendingSettles = 4096
 
-// tell gives the end of a submission to its registrars, to others within
-// settleEvery. Until then, or if the message is lost, whoever asks for the id is
-// sent to this entry, which knows.
-func (r *Registrar) tell(registrars []job.EntryID, m settleMessage) {
+// sendSettle reports the end of a submission to its registrars: to this entry at
+// once, to others within settleInterval. Until a registrar receives the message,
+// or if it is lost, the record refers claimants to this entry, which knows the
+// result.
+func (r *Registrar) sendSettle(registrars []job.EntryID, m settleMessage) {
 	for _, to := range registrars {
 		if to == r.self.Entry {
-			r.settled(&m)
+			r.applySettle(&m)
 			continue
 		}
-		r.outMu.Lock()
-		if len(r.out[to]) < maxTold {
-			r.out[to] = append(r.out[to], m)
+		r.pendingMu.Lock()
+		if len(r.pendingSettles[to]) < maxPendingSettles {
+			r.pendingSettles[to] = append(r.pendingSettles[to], m)
 		}
-		r.outMu.Unlock()
+		r.pendingMu.Unlock()
 		select {
-		case r.flush <- struct{}{}:
+		case r.flushNeeded <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Flush sends the ends that wait, one message to each registrar. A planned stop
-// calls it while the links still stand.
+// Flush sends the pending settle messages, batched into one message per
+// registrar. A planned stop calls Flush while the links are still up.
 func (r *Registrar) Flush() {
-	r.outMu.Lock()
-	out := r.out
-	r.out = map[job.EntryID][]settleMessage{}
-	r.outMu.Unlock()
-	for to, list := range out {
+	r.pendingMu.Lock()
+	pendingSettles := r.pendingSettles
+	r.pendingSettles = map[job.EntryID][]settleMessage{}
+	r.pendingMu.Unlock()
+	for to, list := range pendingSettles {
 		_ = r.opts.Mesh.Send(to, peer.RegistrarSettle, list)
 	}
 }
--- a/internal/registrar/sync.go
+++ b/internal/registrar/sync.go
@@ -14,83 +14,88 @@
 )
 
 const (
-	// syncTimeout bounds one part of one entry's records: some megabytes at most.
+	// syncTimeout bounds the call for one part of an entry's records, which is a few
+	// megabytes at most.
 	syncTimeout = 2 * time.Second
-	// syncRecords is how many records make a part full, in whole shards: some
-	// 100 KB. A zone without records, where jobs are transient or young, then
-	// needs one call for each pair of entries and not one for each shard: with
-	// eleven entries restarted in turn, 16 calls took the smallest VMs a twelfth
-	// of a second of processor time for each change.
-	syncRecords = 512
-	syncPause   = 50 * time.Millisecond
-	// housekeeping is how often old records are removed, and entries that have
-	// not heard that this one has synced are told again.
-	housekeeping = time.Second
-	// settleEvery is how often the ends of submissions are told to registrars.
-	// One message for each was a third of those that a short job cost; the delay
-	// only matters when the owner dies within it.
-	settleEvery = 50 * time.Millisecond
+	// minSyncPartRecords is the number of records, about 100 KB, at which a part is
+	// full. Parts consist of whole shards. A zone without records, where jobs are
+	// transient or young, then needs one call per pair of entries instead of one per
+	// shard: in a rolling restart of eleven entries, 16 calls took a twelfth of a
+	// second of processor time per change on the smallest VMs.
+	minSyncPartRecords = 512
+	syncRetryDelay     = 50 * time.Millisecond
+	// housekeepingInterval is the interval at which old records are removed and a
+	// completed sync is announced again until all entries have synced.
+	housekeepingInterval = time.Second
+	// settleInterval is the interval at which the ends of submissions are sent to
+	// registrars in batches. Sending one message per submission accounted for a third
+	// of the messages of a short job. The delay matters only if the owner dies within
+	// it.
+	settleInterval = 50 * time.Millisecond
 )
 
-// Run collects records whenever the zone's live entries change, until ctx ends.
+// Run collects records whenever the zone's live entries change, expires old records
+// and sends settle messages, until ctx ends.
 func (r *Registrar) Run(ctx context.Context) error {
-	tick := time.NewTicker(housekeeping)
+	tick := time.NewTicker(housekeepingInterval)
 	defer tick.Stop()
-	go r.flushEvery(ctx)
+	go r.flushLoop(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-r.wake:
+		case <-r.syncNeeded:
 			r.sync(ctx)
 		case <-tick.C:
 			r.expire(time.Now())
-			r.tellDone()
+			r.announceSynced()
 		}
 	}
 }
 
-// flushEvery tells the ends of submissions until ctx ends, and what is left then.
-func (r *Registrar) flushEvery(ctx context.Context) {
+// flushLoop sends pending settle messages until ctx ends, and the remaining ones
+// then.
+func (r *Registrar) flushLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			r.Flush()
 			return
-		case <-r.flush:
+		case <-r.flushNeeded:
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(settleEvery):
+		case <-time.After(settleInterval):
 		}
 		r.Flush()
 	}
 }
 
-// expire removes what is older than the time for which it is kept, or more than
-// memory allows.
+// expire removes records and answers that are older than the retention time or that
+// exceed the memory limits.
 func (r *Registrar) expire(now time.Time) {
 	for i := range r.shards {
 		s := &r.shards[i]
 		s.mu.Lock()
-		short := s.table.expire(now, r.opts.Retain, r.opts.RecordBytes/shardCount)
-		s.owned.expire(now, r.opts.Retain, r.opts.AnswerBytes/shardCount)
+		incompleteUntil := s.table.expire(now, r.opts.Retain, r.opts.RecordBytes/shardCount)
+		s.ownerTable.expire(now, r.opts.Retain, r.opts.AnswerBytes/shardCount)
 		s.mu.Unlock()
 		r.mu.Lock()
-		if short.After(r.memory.coldUntil) {
-			// Records went before their time: silence is worth less.
-			r.memory.coldUntil = short
+		if incompleteUntil.After(r.completeness.coldUntil) {
+			// Records were removed early, so a missing record proves less.
+			r.completeness.coldUntil = incompleteUntil
 		}
 		r.mu.Unlock()
 	}
 }
 
-// sync asks all other live entries of the zone for the records that this one
-// keeps now. It ends early when the set changes: the next round asks again.
+// sync collects from all other live entries of the zone the records of which this
+// entry is now a registrar. It ends early when the set of live entries changes,
+// because the next round asks again.
 func (r *Registrar) sync(ctx context.Context) {
 	r.mu.Lock()
-	base := r.memory.bases[len(r.memory.bases)-1]
-	set := r.memory.set()
+	base := r.completeness.liveSets[len(r.completeness.liveSets)-1]
+	setDigest := r.completeness.setDigest()
 	r.mu.Unlock()
 	others := slices.DeleteFunc(slices.Clone(base), func(id job.EntryID) bool { return id == r.self.Entry })
 	replies := make([]syncReply, len(others))
@@ -98,7 +103,7 @@
 	var complete sync.Map
 	for i, entry := range others {
 		wg.Go(func() {
-			if r.pull(ctx, entry, base, set, &replies[i]) {
+			if r.pull(ctx, entry, base, setDigest, &replies[i]) {
 				complete.Store(entry, true)
 			}
 		})
@@ -110,64 +115,66 @@
 		}
 	}
 	r.mu.Lock()
-	if r.memory.set() == set {
-		r.memory.complete(time.Now(), replies)
+	if r.completeness.setDigest() == setDigest {
+		r.completeness.complete(time.Now(), replies)
 	}
 	r.mu.Unlock()
-	r.tellDone()
+	r.announceSynced()
 }
 
-// pull takes all records from one entry; it tries until the set changes.
-func (r *Registrar) pull(ctx context.Context, from job.EntryID, base []job.EntryID, set uint64, out *syncReply) bool {
+// pull collects all records from one entry. It retries until the set of live entries
+// changes and reports whether it succeeded.
+func (r *Registrar) pull(ctx context.Context, from job.EntryID, base []job.EntryID, setDigest uint64, out *syncReply) bool {
 	for i := 0; i < shardCount; {
-		if ctx.Err() != nil || !r.current(set) {
+		if ctx.Err() != nil || !r.isCurrent(setDigest) {
 			return false
 		}
 		var part syncReply
 		call, cancel := context.WithTimeout(ctx, syncTimeout)
-		err := r.opts.Mesh.Call(call, from, peer.RegistrarSync, syncRequest{For: r.self.Entry, Base: base, Shard: i, Claimed: r.claimedFor()}, &part)
+		err := r.opts.Mesh.Call(call, from, peer.RegistrarSync, syncRequest{For: r.self.Entry, Base: base, Shard: i, Claimed: r.claimsActiveFor()}, &part)
 		cancel()
 		if err != nil {
 			select {
-			case <-time.After(syncPause):
+			case <-time.After(syncRetryDelay):
 			case <-ctx.Done():
 			}
 			continue
 		}
-		r.take(part.Records)
+		r.merge(part.Records)
 		out.Cold, out.Losses = part.Cold, part.Losses
 		i = max(part.Next, i+1)
 	}
 	return true
 }
 
-func (r *Registrar) current(set uint64) bool {
+func (r *Registrar) isCurrent(setDigest uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.memory.set() == set
+	return r.completeness.setDigest() == setDigest
 }
 
-func (r *Registrar) take(records []Record) {
+func (r *Registrar) merge(records []Record) {
 	now := time.Now()
 	for _, record := range records {
 		s := r.shard(record.ID)
 		s.mu.Lock()
-		s.table.take(now, record)
+		s.table.merge(now, record)
 		s.mu.Unlock()
 	}
 }
 
-// tellDone tells the zone that this entry has synced, while somebody has not.
-func (r *Registrar) tellDone() {
+// announceSynced announces to the zone that this entry has synced for the current
+// set, once per set and again while other entries have not synced.
+func (r *Registrar) announceSynced() {
 	r.mu.Lock()
-	last := len(r.memory.bases) - 1
-	set, base := r.memory.set(), r.memory.bases[last]
-	claimed := r.claimed(time.Now())
-	due := r.memory.synced && last == 0 && !r.memory.settled()
-	due = due || r.memory.synced && last == 0 && r.memory.announced != set
-	due = due && claimed
+	last := len(r.completeness.liveSets) - 1
+	setDigest, base := r.completeness.setDigest(), r.completeness.liveSets[last]
+	claimsActive := r.claimsActive(time.Now())
+	due := r.completeness.synced && last == 0 && !r.completeness.allSynced()
+	due = due || r.completeness.synced && last == 0 && r.completeness.announcedSet != setDigest
+	due = due && claimsActive
 	if due {
-		r.memory.announced = set
+		r.completeness.announcedSet = setDigest
 	}
 	r.mu.Unlock()
 	if !due {
@@ -175,7 +182,7 @@
 	}
 	for _, to := range base {
 		if to != r.self.Entry {
-			_ = r.opts.Mesh.Send(to, peer.RegistrarSync, syncRequest{For: r.self.Entry, Done: true, Set: set})
+			_ = r.opts.Mesh.Send(to, peer.RegistrarSync, syncRequest{For: r.self.Entry, Done: true, Set: setDigest})
 		}
 	}
 }
@@ -185,21 +192,21 @@
 	if err := cbor.Unmarshal(body, &req); err != nil {
 		return nil, errors.Annotate(err, "decoding a sync")
 	}
-	r.noteClaims(req.Claimed)
+	r.markClaimsActive(req.Claimed)
 	now := time.Now()
 	var answer syncReply
 	r.mu.Lock()
 	if req.Done {
-		r.memory.heardDone(from.Entry, req.Set)
+		r.completeness.recordSynced(from.Entry, req.Set)
 		r.mu.Unlock()
 		return nil, nil
 	}
-	r.memory.tell(now, &answer)
+	r.completeness.fillSyncReply(now, &answer)
 	r.mu.Unlock()
 	if req.Shard < 0 || req.Shard >= shardCount {
 		return nil, errors.NotValidf("shard %d", req.Shard)
 	}
-	for answer.Next = req.Shard; answer.Next < shardCount && len(answer.Records) < syncRecords; answer.Next++ {
+	for answer.Next = req.Shard; answer.Next < shardCount && len(answer.Records) < minSyncPartRecords; answer.Next++ {
 		answer.Records = append(answer.Records, r.export(answer.Next, now, from.Entry, req.Base)...)
 	}
 	if answer.Next < shardCount {
@@ -208,30 +215,32 @@
 	return answer, nil
 }
 
-// export returns the records of one shard that an entry keeps when base is live.
+// export returns the records of one shard that entry to keeps when the live entries
+// are base.
 func (r *Registrar) export(shard int, now time.Time, to job.EntryID, base []job.EntryID) []Record {
 	s := &r.shards[shard]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append(s.table.export(now, to, base), s.owned.export(to, base)...)
+	return append(s.table.export(now, to, base), s.ownerTable.export(to, base)...)
 }
 
-// handleJoin answers an entry whose caller sent a submission that this one
-// owns.
+// handleJoin waits for the answer of a submission that this entry owns and returns
+// it to an entry whose caller resent the submission.
 func (r *Registrar) handleJoin(ctx context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
 	var req joinRequest
 	if err := cbor.Unmarshal(body, &req); err != nil {
 		return nil, errors.Annotate(err, "decoding a join")
 	}
-	answer, err := r.local(ctx, req.ID)
+	answer, err := r.localAnswer(ctx, req.ID)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
 	return joinReply{Answer: answer}, nil
 }
 
-// local returns the answer of a submission of this entry, running or ended.
-func (r *Registrar) local(ctx context.Context, id job.ID) (job.Answer, error) {
+// localAnswer returns the answer of a submission of this entry. It waits if the
+// submission is still running.
+func (r *Registrar) localAnswer(ctx context.Context, id job.ID) (job.Answer, error) {
 	if a, ok := r.Retained(id); ok {
 		return a, nil
 	}
@@ -240,7 +249,7 @@
 			return a, nil
 		}
 	}
-	// It may have ended between the two looks.
+	// The submission may have ended between the two checks above.
 	if a, ok := r.Retained(id); ok {
 		return a, nil
 	}
@@ -252,12 +261,12 @@
 	s := r.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.owned.entries[id]
-	if e == nil || e.state != ownSettled {
+	owned := s.ownerTable.submissions[id]
+	if owned == nil || owned.state != ownerSettled {
 		return job.Answer{}, false
 	}
-	if e.answer == nil {
-		return job.Fail(id, job.OwnerLost, "it ended, and its answer is no longer held"), true
+	if owned.answer == nil {
+		return job.Fail(id, job.OwnerLost, "the submission ended, but its answer is no longer kept"), true
 	}
-	return *e.answer, true
+	return *owned.answer, true
 }
--- a/internal/registrar/table.go
+++ b/internal/registrar/table.go
@@ -7,35 +7,35 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// kept is a record with the time at which it came.
-type kept struct {
+// storedRecord is a record with the time at which it was made.
+type storedRecord struct {
 	Record
-	at time.Time
+	recordedAt time.Time
 }
 
-// table holds the records that this entry keeps as a registrar. It is pure;
-// its owner holds a lock.
+// table holds the records that this entry keeps as a registrar. It performs no
+// I/O and takes no locks; callers hold the shard's lock.
 //
 // An id may have records of several claimants: a registrar that had not synced,
-// or stood in for another, grants a claim without knowing of an earlier one, and
-// hears of that later. Neither record proves the other void, so both stay until
-// their own claimants withdraw them; dropping either would let a job that had
-// started start again.
+// or that replaced another, may grant a claim before it learns of an earlier one.
+// Neither record proves the other void, so both stay until their own claimants
+// withdraw them. Dropping either could let a started job start again.
 type table struct {
-	records map[job.ID][]*kept
-	// order lists records by age for their removal.
-	order []*kept
-	bytes int
+	records map[job.ID][]*storedRecord
+	// insertionOrder lists the records in the order of their insertion, for expiry.
+	// Removed records stay in it until expire reaches them.
+	insertionOrder []*storedRecord
+	bytes          int
 }
 
-func newTable() *table { return &table{records: map[job.ID][]*kept{}} }
+func newTable() *table { return &table{records: map[job.ID][]*storedRecord{}} }
 
-// recordBytes is what a record takes besides its id and answer, in bytes: two
-// pointers, the map's slot, digest, owner and time, rounded up.
-const recordBytes = 256
+// recordOverhead is the memory of a record in bytes without its id and answer:
+// two pointers, the map's slot, digest, owner and time, rounded up.
+const recordOverhead = 256
 
 func (r *Record) size() int {
-	n := recordBytes + len(r.ID)
+	n := recordOverhead + len(r.ID)
 	if r.Answer != nil {
 		n += len(r.Answer.Detail)
 		for _, result := range r.Answer.Results {
@@ -45,18 +45,19 @@
 	return n
 }
 
-// claim records a claimant unless others are recorded; it returns their records.
+// claim records a claimant unless other claimants are recorded, whose records it
+// returns.
 func (t *table) claim(now time.Time, req *claimRequest) (held []Record) {
-	for _, k := range slices.Clone(t.records[req.ID]) {
-		if mayReplace(&k.Record, req) {
-			t.remove(k)
+	for _, stored := range slices.Clone(t.records[req.ID]) {
+		if mayReplace(&stored.Record, req) {
+			t.remove(stored)
 		}
 	}
-	for _, k := range t.records[req.ID] {
-		if k.By != req.By {
-			r := k.Record
-			r.Age = now.Sub(k.at)
-			held = append(held, r)
+	for _, stored := range t.records[req.ID] {
+		if stored.By != req.By {
+			record := stored.Record
+			record.Age = now.Sub(stored.recordedAt)
+			held = append(held, record)
 		}
 	}
 	if len(held) == 0 && t.find(req.ID, req.By) == nil {
@@ -65,9 +66,10 @@
 	return held
 }
 
-// mayReplace reports whether a claim makes a record void: an earlier one of its
-// own entry, or that of a claimant that gave up. An earlier claim's question may
-// arrive after a later one's and must change nothing.
+// mayReplace reports whether a claim makes a record void. It does if the record
+// is of an earlier claim of the same entry, or of a claimant that withdrew. The
+// request of an earlier claim may arrive after that of a later one and must then
+// change nothing.
 func mayReplace(r *Record, req *claimRequest) bool {
 	if r.By.Owner == req.By.Owner {
 		return r.By.Number < req.By.Number
@@ -75,49 +77,50 @@
 	return slices.Contains(req.Replace, r.By)
 }
 
-func (t *table) find(id job.ID, by Claimant) *kept {
-	for _, k := range t.records[id] {
-		if k.By == by {
-			return k
+func (t *table) find(id job.ID, by Claimant) *storedRecord {
+	for _, record := range t.records[id] {
+		if record.By == by {
+			return record
 		}
 	}
 	return nil
 }
 
 func (t *table) add(at time.Time, r Record) {
-	k := &kept{r, at}
-	t.records[r.ID] = append(t.records[r.ID], k)
-	t.order = append(t.order, k)
-	t.bytes += k.size()
+	record := &storedRecord{r, at}
+	t.records[r.ID] = append(t.records[r.ID], record)
+	t.insertionOrder = append(t.insertionOrder, record)
+	t.bytes += record.size()
 }
 
-func (t *table) remove(k *kept) {
-	list := slices.DeleteFunc(t.records[k.ID], func(other *kept) bool { return other == k })
-	t.records[k.ID] = list
+func (t *table) remove(record *storedRecord) {
+	list := slices.DeleteFunc(t.records[record.ID], func(other *storedRecord) bool { return other == record })
+	t.records[record.ID] = list
 	if len(list) == 0 {
-		delete(t.records, k.ID)
+		delete(t.records, record.ID)
 	}
-	t.bytes -= k.size()
+	t.bytes -= record.size()
 }
 
-// settle notes how a submission of that claimant ended; without an answer it
-// drops the record.
+// settle stores the answer in the claimant's record; without an answer it removes
+// the record.
 func (t *table) settle(id job.ID, by Claimant, answer *job.Answer) {
-	k := t.find(id, by)
-	if k == nil {
+	record := t.find(id, by)
+	if record == nil {
 		return
 	}
 	if answer == nil {
-		t.remove(k)
+		t.remove(record)
 		return
 	}
-	t.bytes -= k.size()
-	k.Answer = answer
-	t.bytes += k.size()
+	t.bytes -= record.size()
+	record.Answer = answer
+	t.bytes += record.size()
 }
 
-// take takes a record from another registrar or from an owner.
-func (t *table) take(now time.Time, r Record) {
+// merge adds a record received from another registrar or from an owner. If the
+// record is already stored, merge only adds a missing answer.
+func (t *table) merge(now time.Time, r Record) {
 	if old := t.find(r.ID, r.By); old != nil {
 		if old.Answer == nil && r.Answer != nil {
 			t.settle(r.ID, r.By, r.Answer)
@@ -129,39 +132,39 @@
 	t.add(at, r)
 }
 
-// expire removes records older than retain, and the oldest while they take more
-// than limit bytes. It returns until when ids of records that went too early
-// may be unknown.
-func (t *table) expire(now time.Time, retain time.Duration, limit int) (short time.Time) {
-	for len(t.order) > 0 {
-		first := t.order[0]
-		live := t.find(first.ID, first.By) == first
-		old := now.Sub(first.at) >= retain
-		if live && !old && t.bytes <= limit {
-			return short
+// expire removes records older than retain, and the oldest ones while the table
+// exceeds limit bytes. If it removed records before their time, it returns when
+// the last of them would have expired: until then the table is incomplete.
+func (t *table) expire(now time.Time, retain time.Duration, limit int) (incompleteUntil time.Time) {
+	for len(t.insertionOrder) > 0 {
+		oldest := t.insertionOrder[0]
+		stored := t.find(oldest.ID, oldest.By) == oldest
+		expired := now.Sub(oldest.recordedAt) >= retain
+		if stored && !expired && t.bytes <= limit {
+			return incompleteUntil
 		}
-		if live {
-			t.remove(first)
+		if stored {
+			t.remove(oldest)
 		}
-		if live && !old {
-			short = first.at.Add(retain)
+		if stored && !expired {
+			incompleteUntil = oldest.recordedAt.Add(retain)
 		}
-		t.order[0] = nil
-		t.order = t.order[1:]
+		t.insertionOrder[0] = nil
+		t.insertionOrder = t.insertionOrder[1:]
 	}
-	return short
+	return incompleteUntil
 }
 
-// export returns the records that an entry keeps when base is live.
+// export returns the records that entry to keeps when the live entries are base.
 func (t *table) export(now time.Time, to job.EntryID, base []job.EntryID) []Record {
 	var list []Record
 	for id, records := range t.records {
-		if !keeps(to, base, id) {
+		if !storesRecord(to, base, id) {
 			continue
 		}
-		for _, k := range records {
-			r := k.Record
-			r.Age = now.Sub(k.at)
+		for _, stored := range records {
+			r := stored.Record
+			r.Age = now.Sub(stored.recordedAt)
 			list = append(list, r)
 		}
 	}
