--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -11,9 +11,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// Admit holds each team to its quota, whole jobs only. It stands behind the
-// claim of the id, so that a caller that asks again for an answer which exists
-// gets it whatever its quota.
+// Admit enforces each team's quota. It admits or refuses whole jobs. It runs
+// after the claim of the id, so that a caller that asks again for an existing
+// answer receives it regardless of its quota.
 type Admit struct {
 	Events timeline.Sink
 
@@ -21,13 +21,13 @@
 	quotas *quota.Quotas
 }
 
-// NewAdmit returns a stage without quotas; Configure brings them into force.
+// NewAdmit returns a stage without quotas; Configure sets them.
 func NewAdmit(events timeline.Sink) *Admit {
 	return &Admit{Events: events, quotas: quota.New()}
 }
 
-// Configure brings the quotas of f into force at once. share is the part of
-// each quota that this entry gives out.
+// Configure applies the quotas of f at once. share is the part of each quota
+// that this entry may admit.
 func (a *Admit) Configure(f *config.File, share float64) {
 	if f == nil {
 		return
@@ -49,7 +49,7 @@
 		return job.Refuse(s.ID, v.Reason, v.Detail, v.RetryAfter)
 	}
 	a.Events.Record(timeline.Event{Kind: timeline.SubmissionAdmitted, Submission: s.ID, Count: len(s.Tasks)})
-	defer a.done(s)
+	defer a.release(s)
 	return next(ctx, f)
 }
 
@@ -59,7 +59,7 @@
 	return a.quotas.Admit(time.Now(), s.Team, len(s.Tasks))
 }
 
-func (a *Admit) done(s *job.Submission) {
+func (a *Admit) release(s *job.Submission) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.quotas.Done(time.Now(), s.Team, len(s.Tasks))
--- a/internal/pipeline/check.go
+++ b/internal/pipeline/check.go
@@ -11,18 +11,19 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// drainRetryAfter is when a caller refused by a draining entry may come back:
-// the balancer takes an entry out within a few health checks, so the next try
-// reaches another one.
+// drainRetryAfter is the retry delay given to callers that a draining entry
+// refuses. The load balancer removes the entry within a few health checks, so
+// the next attempt reaches another one.
 const drainRetryAfter = 500 * time.Millisecond
 
-// Check refuses what the configuration in force does not allow. Nothing is
-// handed out by a refused submission, so a first sending is provably "not run".
-// A caller that sends an id again, or does not say whether it does, may have had
-// it run by the sending before: a job whose entry drains, or whose service left
-// the file meanwhile, must not be called "not run" for that. Its refusal goes on
-// to the claim, which knows: it is given if nothing ever ran, and else the job's
-// own answer.
+// Check refuses submissions that the configuration in effect does not allow.
+// No task of a refused submission is handed out, so the first attempt of an id
+// is provably "not run". If the caller sends the id again, or does not say
+// whether it does, an earlier attempt may have run. Such a job must not be
+// called "not run" because the entry drains or because its service has been
+// removed from the configuration. Check therefore passes the refusal on to the
+// Claim stage, which answers with the refusal if nothing ever ran and with the
+// job's own answer otherwise.
 type Check struct {
 	Config config.View
 	Events timeline.Sink
@@ -30,7 +31,7 @@
 	draining atomic.Bool
 }
 
-// Drain makes the stage refuse all that comes after it.
+// Drain makes the stage refuse all later submissions.
 func (c *Check) Drain() { c.draining.Store(true) }
 
 // Draining reports whether Drain was called.
--- a/internal/pipeline/claim.go
+++ b/internal/pipeline/claim.go
@@ -11,42 +11,43 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// Registrar knows who owns a submission; package registrar implements it.
+// Registrar determines who owns a submission; package registrar implements it.
 type Registrar interface {
 	Claim(ctx context.Context, s *job.Submission) (registrar.Decision, error)
 	Join(ctx context.Context, owner job.Owner, id job.ID) (job.Answer, error)
 	Settle(ctx context.Context, id job.ID, a job.Answer)
 }
 
-// Claim makes this entry the owner of a submission before anything of it
-// starts, or finds who is, whatever entry the caller sent it to before.
+// Claim makes this entry the owner of a submission before any of its tasks
+// starts, or finds the existing owner, whichever entry the caller used before.
 type Claim struct {
 	Registrar Registrar
-	// Owned is told that this entry drives a submission.
+	// Owned is called when this entry becomes the owner of a submission.
 	Owned func(job.ID)
-	// Collect waits a while for the results of a lost owner's tasks.
+	// Collect waits for a limited time for the results of a lost owner's tasks.
 	Collect func(ctx context.Context, lost job.Owner, id job.ID, tasks []int, held []job.TaskOutcome) []job.TaskOutcome
-	// Kept returns this entry's own kept answer of the submission, or the
-	// refusal of an id whose kept answer is of other content.
+	// Kept returns the answer to the submission that this entry keeps, or a
+	// refusal if the kept answer of the id belongs to different content.
 	Kept func(f *Flow) (job.Answer, bool)
-	// Find asks the keepers for the answer of a kept submission whose owner is
+	// Find asks the keepers for the answer to a kept submission whose owner is
 	// lost.
 	Find   func(ctx context.Context, f *Flow) (job.Answer, bool)
 	Events timeline.Sink
 }
 
-// A rival is named as the owner while its own claim is still on its way, and an
-// owner may be lost while its answer is waited for. The claim is made again
-// after a pause that starts at about a claim's time across zones, for longer
-// than an entry's death goes unnoticed.
+// A registrar may name a rival as the owner while the rival's claim is still in
+// progress, and an owner may be lost while this entry waits for its answer. The
+// claim is then retried. The first backoff is about the duration of a claim
+// across zones; the timeout is longer than the time in which the failure of an
+// entry is detected.
 const (
-	firstClaimPause = 10 * time.Millisecond
-	maxClaimPause   = 320 * time.Millisecond
-	claimBound      = 5 * time.Second
+	minClaimBackoff = 10 * time.Millisecond
+	maxClaimBackoff = 320 * time.Millisecond
+	claimTimeout    = 5 * time.Second
 )
 
-// lostRetryAfter is when to come back for a kept submission whose owner is
-// lost: an entry restarts and reads its disk within some seconds.
+// lostRetryAfter is the retry delay for a kept submission whose owner is lost:
+// an entry restarts and reads its disk within a few seconds.
 const lostRetryAfter = 2 * time.Second
 
 // Process implements Stage.
@@ -61,32 +62,32 @@
 			return a
 		}
 	}
-	pause := firstClaimPause
-	for began := time.Now(); time.Since(began) < claimBound; {
+	backoff := minClaimBackoff
+	for start := time.Now(); time.Since(start) < claimTimeout; {
 		d, err := c.Registrar.Claim(ctx, s)
 		if err != nil {
 			return job.Fail(s.ID, job.CallerGone, err.Error())
 		}
 		if d.Kind == registrar.Own {
-			a := c.own(ctx, f, next)
+			a := c.answerOwned(ctx, f, next)
 			c.Registrar.Settle(context.WithoutCancel(ctx), s.ID, a)
 			return a
 		}
-		if a, decided := c.elsewhere(ctx, f, &d); decided {
+		if a, decided := c.answerUnowned(ctx, f, &d); decided {
 			return a
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-ctx.Done():
 			return job.Fail(s.ID, job.CallerGone, context.Cause(ctx).Error())
 		}
-		pause = min(2*pause, maxClaimPause)
+		backoff = min(2*backoff, maxClaimBackoff)
 	}
-	return c.unknown(s.ID, job.OwnerLost, "the entries that had the submission were lost one after the other, or can't be reached")
+	return c.uncertain(s.ID, job.OwnerLost, "the entries that owned the submission were lost one after another or are unreachable")
 }
 
-// own answers a submission of which nothing ever started.
-func (c *Claim) own(ctx context.Context, f *Flow, next Next) job.Answer {
+// answerOwned answers a submission of which no task ever started.
+func (c *Claim) answerOwned(ctx context.Context, f *Flow, next Next) job.Answer {
 	if f.Refusal != nil {
 		c.Events.Record(timeline.Event{Kind: timeline.SubmissionRefused, Submission: f.Submission.ID, Reason: f.Refusal.Reason, Cause: f.Refusal.Detail})
 		return *f.Refusal
@@ -95,9 +96,9 @@
 	return next(ctx, f)
 }
 
-// elsewhere answers a submission that this entry may not start. decided is
-// false when its owner was lost meanwhile.
-func (c *Claim) elsewhere(ctx context.Context, f *Flow, d *registrar.Decision) (a job.Answer, decided bool) {
+// answerUnowned answers a submission that this entry may not start. decided is
+// false if the owner was lost in the meantime.
+func (c *Claim) answerUnowned(ctx context.Context, f *Flow, d *registrar.Decision) (a job.Answer, decided bool) {
 	id := f.Submission.ID
 	switch d.Kind {
 	case registrar.Join:
@@ -111,15 +112,15 @@
 		}
 		return a, true
 	case registrar.Answered:
-		c.Events.Record(timeline.Event{Kind: timeline.SubmissionJoined, Submission: id, Peer: d.Owner.Entry, Cause: "it has ended already"})
+		c.Events.Record(timeline.Event{Kind: timeline.SubmissionJoined, Submission: id, Peer: d.Owner.Entry, Cause: "it has already ended"})
 		return d.Answer, true
 	case registrar.Conflict:
-		return job.Refuse(id, job.IDReused, "the id names a submission with other content", 0), true
+		return job.Refuse(id, job.IDReused, "the id belongs to a submission with different content", 0), true
 	case registrar.TakeOver:
 		return c.takeOver(ctx, f, d), true
 	}
 	if f.Refusal != nil {
-		// The refusal stands whether or not an earlier sending ran.
+		// The refusal applies whether or not an earlier attempt ran.
 		a := *f.Refusal
 		if !d.NotRun {
 			a.Run = job.MayHaveRun
@@ -129,18 +130,18 @@
 	if d.NotRun {
 		return job.Refuse(id, d.Reason, d.Detail, time.Second), true
 	}
-	return c.unknown(id, d.Reason, d.Detail), true
+	return c.uncertain(id, d.Reason, d.Detail), true
 }
 
-// takeOver answers a lost owner's submission. None of its tasks is started
-// again: the answer is complete if the holders have all results.
+// takeOver answers a submission of a lost owner. It restarts no task: the
+// answer is complete only if the holders have all results.
 func (c *Claim) takeOver(ctx context.Context, f *Flow, d *registrar.Decision) job.Answer {
 	s := f.Submission
 	if f.Service.Keep != job.KeepMemory {
 		if a, ok := c.Find(ctx, f); ok {
 			return a
 		}
-		a := c.unknown(s.ID, job.OwnerLost, "the entry that has the submission is lost; it is kept and driven on")
+		a := c.uncertain(s.ID, job.OwnerLost, "the owner of the submission is lost; the submission is kept and will be resumed")
 		a.RetryAfter = lostRetryAfter
 		return a
 	}
@@ -153,18 +154,18 @@
 	if v.Finished {
 		return v.Answer
 	}
-	return c.unknown(s.ID, job.OwnerLost, "the entry that had the submission is lost")
+	return c.uncertain(s.ID, job.OwnerLost, "the owner of the submission is lost")
 }
 
-// unknown is the honest answer where it can't be said whether anything ran.
-func (c *Claim) unknown(id job.ID, reason job.Reason, detail string) job.Answer {
+// uncertain returns the answer for a submission whose tasks may have run.
+func (c *Claim) uncertain(id job.ID, reason job.Reason, detail string) job.Answer {
 	return job.Answer{ID: id, Outcome: job.Refused, Run: job.MayHaveRun, Reason: reason, Detail: detail, RetryAfter: time.Second}
 }
 
-// errNoAnswer is what a search without a result ends with.
-const errNoAnswer = errors.ConstError("no entry in reach has the answer")
+// errNoAnswer is the error of FirstAnswer if no entry has the answer.
+const errNoAnswer = errors.ConstError("no reachable entry has the answer")
 
-// FirstAnswer asks entries side by side and returns the first answer.
+// FirstAnswer asks the entries concurrently and returns the first answer.
 func FirstAnswer(ctx context.Context, entries []job.EntryID, ask func(context.Context, job.EntryID) (job.Answer, error)) (job.Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/pipeline/collect.go
+++ b/internal/pipeline/collect.go
@@ -7,78 +7,80 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// maxResultBytes bounds the results of one job. A target may answer a task with
-// up to 16 MiB; without a bound on their sum one job of 1,900 tasks could end
-// the process, and with it every submission that it owns.
+// maxResultBytes limits the total size of the results of one job. A target may
+// answer a task with up to 16 MiB; without a limit on their sum, one job of
+// 1,900 tasks could crash the process, and with it every submission it owns.
 const maxResultBytes = 64 << 20
 
-// Collector gathers the outcomes of one submission's tasks and decides what
-// its answer is. It is pure: outcomes and times in, a Verdict out; its owner
-// holds a lock.
+// Collector gathers the outcomes of one submission's tasks and decides its
+// answer. It does no I/O and no locking: it maps outcomes to a Verdict, and its
+// user holds a lock.
 //
-// A job's answer is complete only when each task has a result of its own. An
-// outcome for a task that already has one is dropped: a report that is sent
-// again must not replace a result or count twice.
+// A job's answer is complete only when every task has a result. Collector drops
+// an outcome of a task that already has one: a repeated report must not replace
+// a result or count twice.
 type Collector struct {
 	submission *job.Submission
 	outcomes   []job.TaskOutcome
 	done       int
 	bytes      int
-	started    int
+	erred      int
 	offered    bool
 	failure    *job.TaskOutcome
 	finished   bool
-	// ran is set once a task ran whose result was lost: nothing proves then that
-	// the submission never ran.
-	ran bool
-	// withdrawing is set while the rest of a failed submission is taken back.
+	// lostRun is set once a task may have run and its result was lost, so that
+	// the submission can no longer be proved not to have run.
+	lostRun bool
+	// withdrawing is set while the other tasks of a failed submission are being
+	// cancelled at their holders.
 	withdrawing bool
 }
 
 // Verdict is what the owner does next.
 type Verdict struct {
-	// Finished is set once, with Answer, when the submission's end is decided.
+	// Finished is set once, together with Answer, when the answer is decided.
 	Finished bool
 	Answer   job.Answer
-	// Reoffer lists tasks that provably did not start and may go elsewhere.
+	// Reoffer lists tasks to offer to other holders: they provably did not
+	// start, or their run was lost and may be repeated.
 	Reoffer []int
-	// Withdraw is set once when the submission fails while nothing of it is known
-	// to have run and holders have not said so of all tasks: what they say when
-	// the rest is taken back decides whether it is "not run".
+	// Withdraw is set once if the submission fails while no task is known to have
+	// run but some have no outcome yet. The open tasks are then cancelled, and
+	// their outcomes decide whether the answer is "not run".
 	Withdraw bool
 }
 
-// NewCollector returns a collector for s. Tasks that an earlier owner may have
-// started are marked so and end the job unless held has their results.
+// NewCollector returns a collector for s. started names the tasks that an earlier
+// owner may have started; each of them fails the job unless held has its result.
 func NewCollector(s *job.Submission, started map[int]bool, held []job.TaskOutcome) *Collector {
 	c := &Collector{submission: s, outcomes: make([]job.TaskOutcome, len(s.Tasks))}
 	for _, o := range held {
-		if c.known(o.Index) && o.Status == job.TaskDone && c.outcomes[o.Index].Status == 0 {
+		if c.validIndex(o.Index) && o.Status == job.TaskDone && c.outcomes[o.Index].Status == 0 {
 			c.outcomes[o.Index] = o
 			c.done++
 		}
 	}
 	for i := range started {
-		if c.known(i) && c.outcomes[i].Status == 0 {
+		if c.validIndex(i) && c.outcomes[i].Status == 0 {
 			c.fail(job.TaskOutcome{Index: i, Status: job.TaskErred, Reason: job.OwnerLost, Detail: "the task may have run under an earlier owner and its result is lost"})
 		}
 	}
 	return c
 }
 
-func (c *Collector) known(i int) bool { return i >= 0 && i < len(c.outcomes) }
+func (c *Collector) validIndex(i int) bool { return i >= 0 && i < len(c.outcomes) }
 
 func (c *Collector) fail(o job.TaskOutcome) {
 	c.outcomes[o.Index] = o
 	if o.Status == job.TaskErred {
-		c.started++
+		c.erred++
 	}
 	if c.failure == nil || c.failure.Status == job.TaskNotStarted {
 		c.failure = &o
 	}
 }
 
-// Open returns the tasks that have no outcome, in order.
+// Open returns the tasks without an outcome, in order.
 func (c *Collector) Open() []int {
 	var open []int
 	for i := range c.outcomes {
@@ -95,23 +97,23 @@
 // Done returns how many tasks have a result.
 func (c *Collector) Done() int { return c.done }
 
-// Offered notes that tasks were handed to a holder.
+// Offered records that tasks were offered to a holder.
 func (c *Collector) Offered() { c.offered = true }
 
-// GiveUp takes the word that unstarted tasks go nowhere else.
+// GiveUp adds outcomes of tasks that are not offered to another holder.
 func (c *Collector) GiveUp(outcomes []job.TaskOutcome) Verdict { return c.add(outcomes, false) }
 
-// Add takes outcomes that a holder reported. Tasks that another holder may
-// start come back in the verdict.
+// Add adds outcomes that a holder reported. Tasks that another holder may start
+// are returned in Verdict.Reoffer.
 func (c *Collector) Add(outcomes []job.TaskOutcome) Verdict { return c.add(outcomes, true) }
 
-func (c *Collector) add(outcomes []job.TaskOutcome, again bool) Verdict {
+func (c *Collector) add(outcomes []job.TaskOutcome, mayReoffer bool) Verdict {
 	if c.finished {
 		return Verdict{}
 	}
 	var reoffer []int
 	for _, o := range outcomes {
-		if !c.known(o.Index) || c.outcomes[o.Index].Status != 0 {
+		if !c.validIndex(o.Index) || c.outcomes[o.Index].Status != 0 {
 			continue
 		}
 		switch {
@@ -119,23 +121,23 @@
 			c.outcomes[o.Index] = o
 			c.done++
 			c.bytes += len(o.Payload)
-		case o.Status == job.TaskNotStarted && again && mayGoElsewhere(o.Reason):
+		case o.Status == job.TaskNotStarted && mayReoffer && mayGoElsewhere(o.Reason):
 			reoffer = append(reoffer, o.Index)
-		case again && c.mayRunAgain(&o):
-			c.ran = true
+		case mayReoffer && c.mayRunAgain(&o):
+			c.lostRun = true
 			reoffer = append(reoffer, o.Index)
 		default:
 			c.fail(o)
 		}
 	}
 	if c.bytes > maxResultBytes && c.failure == nil {
-		c.failure = &job.TaskOutcome{Status: job.TaskErred, Reason: job.TooLarge, Detail: "the results of the job together are larger than one answer may be"}
+		c.failure = &job.TaskOutcome{Status: job.TaskErred, Reason: job.TooLarge, Detail: "the results of the job exceed the size limit of one answer"}
 	}
 	return c.decide(reoffer)
 }
 
-// mayRunAgain reports whether a task whose run was lost with its target or its
-// holder, and has provably ended, may run once more elsewhere.
+// mayRunAgain reports whether a task may run once more elsewhere: its run was
+// lost with its target or holder and has provably ended.
 func (c *Collector) mayRunAgain(o *job.TaskOutcome) bool {
 	if !c.submission.Transient || o.Status != job.TaskErred || !o.Over {
 		return false
@@ -143,8 +145,8 @@
 	return o.Reason == job.HolderLost || o.Reason == job.TargetLost
 }
 
-// mayGoElsewhere reports whether another holder could do better with a task
-// that this one did not start.
+// mayGoElsewhere reports whether another holder may be able to start a task that
+// was not started for reason r.
 func mayGoElsewhere(r job.Reason) bool {
 	switch r {
 	case job.NoTarget, job.Overloaded, job.QueueFull, job.Draining, job.HolderLost, job.TargetRefused, job.Infeasible:
@@ -157,7 +159,7 @@
 	if c.failure == nil && c.done < len(c.outcomes) {
 		return Verdict{Reoffer: reoffer}
 	}
-	if c.failure != nil && c.mayBeUnrun() {
+	if c.failure != nil && c.possiblyNotRun() {
 		for _, task := range reoffer {
 			c.outcomes[task] = *c.failure
 			c.outcomes[task].Index = task
@@ -169,32 +171,34 @@
 		}
 		reoffer = nil
 	}
-	return c.end(reoffer)
+	return c.finish(reoffer)
 }
 
-// mayBeUnrun reports whether nothing of a transient submission is known to have
-// run. Others need no such word: who sends them again is given their answer.
-func (c *Collector) mayBeUnrun() bool {
-	return c.submission.Transient && c.failure.Status == job.TaskNotStarted && c.done == 0 && c.started == 0 && !c.ran
+// possiblyNotRun reports whether no task of a transient submission is known to
+// have run. For other submissions it returns false: a caller that sends one
+// again receives its answer.
+func (c *Collector) possiblyNotRun() bool {
+	return c.submission.Transient && c.failure.Status == job.TaskNotStarted && c.done == 0 && c.erred == 0 && !c.lostRun
 }
 
-func (c *Collector) end(reoffer []int) Verdict {
+func (c *Collector) finish(reoffer []int) Verdict {
 	c.finished = true
 	if c.failure == nil {
-		return Verdict{Finished: true, Answer: c.complete()}
+		return Verdict{Finished: true, Answer: c.completeAnswer()}
 	}
-	return Verdict{Finished: true, Answer: c.failed(reoffer)}
+	return Verdict{Finished: true, Answer: c.failedAnswer(reoffer)}
 }
 
-// Conclude ends a submission that is being withdrawn, whatever holders still owe.
+// Conclude ends a failed submission without waiting for the outcomes that are
+// still missing.
 func (c *Collector) Conclude() Verdict {
 	if c.finished || c.failure == nil {
 		return Verdict{}
 	}
-	return c.end(nil)
+	return c.finish(nil)
 }
 
-func (c *Collector) complete() job.Answer {
+func (c *Collector) completeAnswer() job.Answer {
 	results := make([]json.RawMessage, len(c.outcomes))
 	for i := range c.outcomes {
 		results[i] = c.outcomes[i].Payload
@@ -202,17 +206,17 @@
 	return job.Answer{ID: c.submission.ID, Outcome: job.Complete, Run: job.MayHaveRun, Results: results}
 }
 
-// failed words the answer after a task failed. It says "not run" only when
-// each task of the submission is known not to have started: a task without an
-// outcome may be running at this moment.
-func (c *Collector) failed(reoffer []int) job.Answer {
+// failedAnswer returns the answer after a task failed. It says "not run" only if
+// every task is known not to have started: a task without an outcome may still
+// be running.
+func (c *Collector) failedAnswer(reoffer []int) job.Answer {
 	unstarted := len(reoffer)
 	for i := range c.outcomes {
 		if c.outcomes[i].Status == job.TaskNotStarted {
 			unstarted++
 		}
 	}
-	if unstarted == len(c.outcomes) && !c.ran {
+	if unstarted == len(c.outcomes) && !c.lostRun {
 		return job.Refuse(c.submission.ID, c.failure.Reason, c.failure.Detail, retryAfter(c.failure))
 	}
 	a := job.Fail(c.submission.ID, c.failure.Reason, c.failure.Detail)
@@ -220,9 +224,9 @@
 	return a
 }
 
-// retryAfter is when a caller may usefully come back. Where the refusing stage
-// gave no figure it is about one lease renewal, after which the entries' view
-// of targets and holders is new.
+// retryAfter returns the retry delay for the caller. If the refusing stage gave
+// none, it is about one lease renewal, after which the entries have a new view
+// of targets and holders.
 func retryAfter(o *job.TaskOutcome) time.Duration {
 	if o.RetryAfter > 0 {
 		return o.RetryAfter
@@ -234,16 +238,16 @@
 	return 0
 }
 
-// Stop ends the submission from outside: a cancellation, a deadline or a caller
-// that is gone. Queued and running tasks may be on their way, so the answer
-// says "not run" only when no task was ever offered or all came back unstarted.
+// Stop ends the submission early: after a cancellation, at its deadline or once
+// its caller is gone. Tasks may be queued or running, so the answer says "not
+// run" only if no task was ever offered.
 func (c *Collector) Stop(outcome job.Outcome, reason job.Reason, detail string) Verdict {
 	if c.finished {
 		return Verdict{}
 	}
 	c.finished = true
 	a := job.Answer{ID: c.submission.ID, Outcome: outcome, Reason: reason, Detail: detail}
-	if !c.offered && c.done == 0 && c.started == 0 {
+	if !c.offered && c.done == 0 && c.erred == 0 {
 		a.Run = job.NotRun()
 	}
 	return Verdict{Finished: true, Answer: a}
--- a/internal/pipeline/collect_test.go
+++ b/internal/pipeline/collect_test.go
@@ -25,14 +25,14 @@
 	return job.TaskOutcome{Index: i, Status: job.TaskNotStarted, Reason: r}
 }
 
-// Reports of holders arrive in any order, twice after a broken link, with
-// failures among them. The caller must get all results in the order of its
-// tasks or a failure, and "not run" only when nothing ran.
-func TestCollectorVerdicts(t *testing.T) {
+// Reports of holders arrive in any order, include failures and may be repeated
+// after a broken link. The caller must receive either all results in the order of
+// its tasks or a failure, and "not run" only if nothing ran.
+func TestCollectorDecisions(t *testing.T) {
 	tests := []struct {
 		name    string
 		tasks   int
-		giveUp  bool
+		abandon bool
 		reports [][]job.TaskOutcome
 		want    job.Outcome
 		run     string
@@ -41,8 +41,8 @@
 		{"whole", 2, false, [][]job.TaskOutcome{{done(1, "1")}, {done(0, "0")}}, job.Complete, "may have run", ""},
 		{"one failed", 2, false, [][]job.TaskOutcome{{done(1, "1")}, {erred(0)}}, job.Failed, "may have run", job.TargetLost},
 		{"all refused by every holder", 2, true, [][]job.TaskOutcome{{unstarted(0, job.Overloaded), unstarted(1, job.Overloaded)}}, job.Refused, "not run", job.Overloaded},
-		{"refused beside an open task", 2, true, [][]job.TaskOutcome{{unstarted(0, job.Overloaded)}}, job.Failed, "may have run", job.Overloaded},
-		{"refused beside a done task", 2, true, [][]job.TaskOutcome{{done(1, "1")}, {unstarted(0, job.NoTarget)}}, job.Failed, "may have run", job.NoTarget},
+		{"one refused, one open", 2, true, [][]job.TaskOutcome{{unstarted(0, job.Overloaded)}}, job.Failed, "may have run", job.Overloaded},
+		{"one refused, one done", 2, true, [][]job.TaskOutcome{{done(1, "1")}, {unstarted(0, job.NoTarget)}}, job.Failed, "may have run", job.NoTarget},
 		{"expired in the queue", 1, false, [][]job.TaskOutcome{{unstarted(0, job.DeadlinePassed)}}, job.Refused, "not run", job.DeadlinePassed},
 		{"unknown index", 1, false, [][]job.TaskOutcome{{done(7, "7")}, {done(0, "0")}}, job.Complete, "may have run", ""},
 	}
@@ -52,7 +52,7 @@
 			c.Offered()
 			var last Verdict
 			for _, r := range test.reports {
-				if test.giveUp {
+				if test.abandon {
 					last = c.GiveUp(r)
 					continue
 				}
@@ -67,8 +67,8 @@
 	}
 }
 
-// A link breaks after a holder reported and the report is sent again, now with
-// another payload. The caller must get the first result, once.
+// A link breaks after a holder reported, and the holder sends the report again
+// with a different payload. The caller must receive the first result, once.
 func TestCollectorKeepsFirstResult(t *testing.T) {
 	c := NewCollector(submission(2), nil, nil)
 	c.Offered()
@@ -79,8 +79,8 @@
 	qt.Assert(t, v.Answer.Results, qt.DeepEquals, []json.RawMessage{json.RawMessage(`"first"`), json.RawMessage(`"b"`)})
 }
 
-// A holder refuses because its targets left a moment ago. The tasks did not
-// start, so another holder gets them and the caller notices nothing.
+// A holder refuses because its targets have just left. The tasks did not start,
+// so they are offered to another holder and the caller notices nothing.
 func TestCollectorReoffersUnstarted(t *testing.T) {
 	c := NewCollector(submission(2), nil, nil)
 	c.Offered()
@@ -89,9 +89,9 @@
 	qt.Assert(t, v.Reoffer, qt.DeepEquals, []int{0, 1})
 }
 
-// An entry dies after it handed a task out, and the caller sends the job again
+// An entry crashes after it handed out a task, and the caller sends the job again
 // through another entry. The task must not start a second time; the job fails
-// unless its result had been collected.
+// unless the task's result had been collected.
 func TestCollectorNeverRestartsTasksOfAnEarlierOwner(t *testing.T) {
 	c := NewCollector(submission(2), map[int]bool{0: true}, nil)
 	v := c.Add(nil)
@@ -105,9 +105,9 @@
 	qt.Assert(t, v.Answer.Outcome, qt.Equals, job.Complete)
 }
 
-// A caller cancels. Before anything was offered nothing can have run; after
-// that a task may be on its way to a target.
-func TestCollectorStopIsTruthful(t *testing.T) {
+// A caller cancels a job. Before any task was offered, nothing can have run;
+// afterwards a task may be about to reach a target.
+func TestCollectorStopClaimsNotRunOnlyIfProven(t *testing.T) {
 	c := NewCollector(submission(1), nil, nil)
 	qt.Assert(t, c.Stop(job.Cancelled, job.CancelledByCall, "").Answer.Run.Proven(), qt.IsTrue)
 	c = NewCollector(submission(1), nil, nil)
@@ -115,9 +115,8 @@
 	qt.Assert(t, c.Stop(job.Cancelled, job.CancelledByCall, "").Answer.Run.Proven(), qt.IsFalse)
 }
 
-// The targets of one job answer with far more than anybody expects. The job
-// must fail by itself, before its answer fills the memory of a small VM and
-// ends every other job there.
+// The results of one job are far larger than expected. Only this job must fail,
+// before its answer fills the memory of a small VM and ends every other job there.
 func TestCollectorBoundsTheAnswer(t *testing.T) {
 	c := NewCollector(submission(3), nil, nil)
 	c.Offered()
@@ -132,23 +131,23 @@
 	qt.Assert(t, v.Answer.Run.Proven(), qt.IsFalse)
 }
 
-// Two holders queue the parts of a job; one of them gives its part up since the
-// answer would be of no use any more. What the other one says when the rest is
-// taken back decides what the caller is told: "not run" only if it is true.
+// Two holders queue the parts of a job, and one of them drops its part because the
+// answer would no longer be useful. The other part is then cancelled, and its
+// holder's report decides the answer: "not run" only if that part did not run.
 func TestFailedTransientSubmissionIsWithdrawn(t *testing.T) {
-	given := func(index int) job.TaskOutcome {
+	abandoned := func(index int) job.TaskOutcome {
 		return job.TaskOutcome{Index: index, Status: job.TaskNotStarted, Reason: job.DeadlinePassed}
 	}
 	for name, c := range map[string]struct {
 		other job.TaskOutcome
 		run   string
 	}{
-		"the rest was queued": {given(1), "not run"},
+		"the rest was queued": {abandoned(1), "not run"},
 		"the rest ran":        {job.TaskOutcome{Index: 1, Status: job.TaskErred, Reason: job.CancelledByCall}, "may have run"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c2 := NewCollector(&job.Submission{ID: "j", Transient: true, Tasks: make([]job.TaskSpec, 2)}, nil, nil)
-			v := c2.Add([]job.TaskOutcome{given(0)})
+			v := c2.Add([]job.TaskOutcome{abandoned(0)})
 			qt.Assert(t, v.Withdraw, qt.IsTrue)
 			qt.Assert(t, v.Finished, qt.IsFalse)
 			v = c2.Add([]job.TaskOutcome{c.other})
@@ -156,7 +155,7 @@
 			qt.Assert(t, v.Answer.Run.String(), qt.Equals, c.run)
 		})
 	}
-	silent := NewCollector(&job.Submission{ID: "j", Transient: true, Tasks: make([]job.TaskSpec, 2)}, nil, nil)
-	silent.Add([]job.TaskOutcome{given(0)})
-	qt.Assert(t, silent.Conclude().Answer.Run, qt.Equals, job.MayHaveRun)
+	unanswered := NewCollector(&job.Submission{ID: "j", Transient: true, Tasks: make([]job.TaskSpec, 2)}, nil, nil)
+	unanswered.Add([]job.TaskOutcome{abandoned(0)})
+	qt.Assert(t, unanswered.Conclude().Answer.Run, qt.Equals, job.MayHaveRun)
 }
--- a/internal/pipeline/fresh.go
+++ b/internal/pipeline/fresh.go
@@ -8,21 +8,22 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// pausedDetail words why a job is given up after a pause of its owner.
-const pausedDetail = "this entry stood still, and its caller may have sent the job elsewhere meanwhile"
+// pausedDetail is the detail of a job that ends after a pause of its owner.
+const pausedDetail = "this entry was paused, and the caller may have sent the job elsewhere in the meantime"
 
-// pausedRetry is when a caller may come back to an entry that has just gone on: what lay
-// unread has been read by then.
-const pausedRetry = time.Second
+// pausedRetryAfter is the retry delay after a pause of this entry. By then the entry has
+// read the requests that arrived during the pause.
+const pausedRetryAfter = time.Second
 
-// Fresh gives transient submissions the right to go on for their callers, and refuses those
-// that may have lain unread while the entry stood still. A job that its caller has sent
-// elsewhere since looks like a new one: both entries would run it. Nothing of it ran here,
-// so the refusal says so, and when to come back.
+// Fresh attaches a right to act to transient submissions. It refuses those that may have
+// waited unread while the entry was paused: the caller may have sent such a job to another
+// entry since, and both entries would run it. No task of it ran here, so the refusal says
+// "not run" and carries a retry delay.
 type Fresh struct {
-	// Right returns the right to go on for a caller whose request was read now and who
-	// waits for so long, zero for ever; false where the request may be as old as a pause
-	// that has just ended. Nil asks for none.
+	// Right returns the right to act for a caller whose request was read just now and
+	// who waits for the remaining time (zero: without limit). It returns false if the
+	// request may have arrived before the end of a recent pause. If Right is nil,
+	// submissions need no right.
 	Right  func(remaining time.Duration) (job.Right, bool)
 	Events timeline.Sink
 }
@@ -38,8 +39,8 @@
 	}
 	right, fresh := s.Right(remaining)
 	if !fresh {
-		s.Events.Record(timeline.Event{Kind: timeline.SubmissionRefused, Submission: f.Submission.ID, Reason: job.Paused, Cause: "it may have lain unread while the entry stood still"})
-		return job.Refuse(f.Submission.ID, job.Paused, "this entry has just gone on after a pause", pausedRetry)
+		s.Events.Record(timeline.Event{Kind: timeline.SubmissionRefused, Submission: f.Submission.ID, Reason: job.Paused, Cause: "it may have waited unread while the entry was paused"})
+		return job.Refuse(f.Submission.ID, job.Paused, "this entry has just resumed after a pause", pausedRetryAfter)
 	}
 	f.Right = right
 	return next(ctx, f)
--- a/internal/pipeline/fresh_test.go
+++ b/internal/pipeline/fresh_test.go
@@ -11,20 +11,20 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-type standing struct{ lost chan struct{} }
+type validRight struct{ lost chan struct{} }
 
-func (s standing) Holds() bool           { return true }
-func (s standing) Left() time.Duration   { return time.Second }
-func (s standing) Lost() <-chan struct{} { return s.lost }
+func (s validRight) Holds() bool           { return true }
+func (s validRight) Left() time.Duration   { return time.Second }
+func (s validRight) Lost() <-chan struct{} { return s.lost }
 
-// An entry stands still, and requests lie unread. Their callers give up and send the jobs
-// through other entries. When the entry goes on, it reads them like new ones: it must run
-// none of them, and say truly that nothing ran, and when to come back.
-func TestRequestsThatMayBeAsOldAsAPauseAreRefused(t *testing.T) {
+// An entry is paused while requests wait unread, and their callers send the jobs through
+// other entries. When the entry resumes, it reads the old requests like new ones. It must
+// run none of them and answer "not run" with a retry delay.
+func TestStaleRequestsAfterPauseAreRefused(t *testing.T) {
 	s := &Fresh{Right: func(time.Duration) (job.Right, bool) { return nil, false }, Events: timeline.Discard{}}
 	f := &Flow{Submission: &job.Submission{ID: "j", Transient: true}}
 	a := s.Process(t.Context(), f, func(context.Context, *Flow) job.Answer {
-		t.Fatal("the job was taken")
+		t.Fatal("the job was accepted")
 		return job.Answer{}
 	})
 	qt.Assert(t, a.Outcome, qt.Equals, job.Refused)
@@ -33,8 +33,8 @@
 	qt.Assert(t, a.RetryAfter > 0, qt.IsTrue)
 }
 
-func TestFreshRequestsGetTheirRight(t *testing.T) {
-	right := standing{make(chan struct{})}
+func TestFreshTransientRequestsGetARight(t *testing.T) {
+	right := validRight{make(chan struct{})}
 	s := &Fresh{Right: func(time.Duration) (job.Right, bool) { return right, true }, Events: timeline.Discard{}}
 	for _, transient := range []bool{true, false} {
 		f := &Flow{Submission: &job.Submission{ID: "j", Transient: transient}}
--- a/internal/pipeline/join.go
+++ b/internal/pipeline/join.go
@@ -10,14 +10,15 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// joinShards is the number of locks of the table of running submissions. At
-// 16,000 submissions a second an entry takes a lock twice for each; 64 shards
-// keep the chance that two of a few cores meet on one lock below 5%.
+// joinShards is the number of shards, each with its own lock, of the table of
+// running submissions. At 16,000 submissions a second, an entry locks a shard
+// twice for each; with 64 shards and a few cores, the probability that two of
+// them contend for one lock stays below 5%.
 const joinShards = 64
 
-// Join gives every caller that sends the same id to this entry while the first
-// one runs the same answer, and keeps a submission running when its caller
-// hangs up but can come back with the id.
+// Join runs each id once: callers that send an id to this entry while it runs
+// receive the answer of the first. A submission whose caller hangs up goes on
+// running if the caller can ask for the answer with the id.
 type Join struct {
 	Events timeline.Sink
 
@@ -26,18 +27,19 @@
 
 type joinShard struct {
 	mu      sync.Mutex
-	running map[job.ID]*running
+	running map[job.ID]*runningSubmission
 }
 
-// running is one submission that this entry works on.
-type running struct {
-	digest  job.Digest
-	keep    bool
-	owned   bool
-	waiters int
-	cancel  context.CancelCauseFunc
-	done    chan struct{}
-	answer  job.Answer
+// runningSubmission is a submission that this entry processes.
+// outlivesCallers is set if it continues after all its callers have hung up.
+type runningSubmission struct {
+	digest          job.Digest
+	outlivesCallers bool
+	owned           bool
+	waiters         int
+	cancel          context.CancelCauseFunc
+	done            chan struct{}
+	answer          job.Answer
 }
 
 func (j *Join) shard(id job.ID) *joinShard {
@@ -52,7 +54,7 @@
 	if r := shard.running[s.ID]; r != nil {
 		if r.digest != s.Digest {
 			shard.mu.Unlock()
-			return job.Refuse(s.ID, job.IDReused, "the id names a submission with other content", 0)
+			return job.Refuse(s.ID, job.IDReused, "the id belongs to a submission with different content", 0)
 		}
 		r.waiters++
 		shard.mu.Unlock()
@@ -60,9 +62,9 @@
 		return j.wait(ctx, shard, s.ID, r)
 	}
 	work, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
-	r := &running{digest: s.Digest, keep: s.CallerID && !s.Transient, waiters: 1, cancel: cancel, done: make(chan struct{})}
+	r := &runningSubmission{digest: s.Digest, outlivesCallers: s.CallerID && !s.Transient, waiters: 1, cancel: cancel, done: make(chan struct{})}
 	if shard.running == nil {
-		shard.running = map[job.ID]*running{}
+		shard.running = map[job.ID]*runningSubmission{}
 	}
 	shard.running[s.ID] = r
 	shard.mu.Unlock()
@@ -78,9 +80,9 @@
 	return j.wait(ctx, shard, s.ID, r)
 }
 
-// wait returns the answer, or leaves when the caller hangs up. The last caller
-// of an id that nobody knows takes the submission back.
-func (j *Join) wait(ctx context.Context, shard *joinShard, id job.ID, r *running) job.Answer {
+// wait returns the answer, or a failure once the caller hangs up. It cancels the
+// submission when the last caller hangs up and none can ask for it again.
+func (j *Join) wait(ctx context.Context, shard *joinShard, id job.ID, r *runningSubmission) job.Answer {
 	select {
 	case <-r.done:
 		return r.answer
@@ -88,7 +90,7 @@
 	}
 	shard.mu.Lock()
 	r.waiters--
-	abandoned := r.waiters == 0 && !r.keep
+	abandoned := r.waiters == 0 && !r.outlivesCallers
 	shard.mu.Unlock()
 	if abandoned {
 		r.cancel(ErrCallerGone)
@@ -96,8 +98,8 @@
 	return job.Fail(id, job.CallerGone, "the caller hung up")
 }
 
-// CancelOwned takes a submission that this entry drives back and reports
-// whether there is one.
+// CancelOwned cancels a submission that this entry owns and reports whether
+// there is one.
 func (j *Join) CancelOwned(id job.ID) bool {
 	r := j.findOwned(id)
 	if r == nil {
@@ -107,7 +109,7 @@
 	return true
 }
 
-// StopAll ends every submission that this entry works on.
+// StopAll cancels every submission that runs at this entry.
 func (j *Join) StopAll(cause error) {
 	for i := range j.shards {
 		shard := &j.shards[i]
@@ -119,7 +121,8 @@
 	}
 }
 
-// Owned notes that this entry drives the submission: others may wait for it.
+// Owned records that this entry owns the submission, so that other entries may
+// wait for its answer.
 func (j *Join) Owned(id job.ID) {
 	shard := j.shard(id)
 	shard.mu.Lock()
@@ -129,10 +132,10 @@
 	}
 }
 
-// Wait returns the answer of a submission that this entry drives, for callers
-// at other entries; ok is false when it drives none. A submission that is only
-// being looked for does not count: two entries with the same resubmission
-// would wait for each other.
+// Wait returns the answer to a submission that this entry owns, for callers at
+// other entries; ok is false if this entry does not own it. A submission whose
+// owner is still being determined does not count: two entries with the same
+// resubmission would wait for each other.
 func (j *Join) Wait(ctx context.Context, id job.ID) (a job.Answer, ok bool) {
 	r := j.findOwned(id)
 	if r == nil {
@@ -146,10 +149,10 @@
 	}
 }
 
-// HasOwned reports whether this entry drives the submission.
+// HasOwned reports whether this entry owns the submission.
 func (j *Join) HasOwned(id job.ID) bool { return j.findOwned(id) != nil }
 
-func (j *Join) findOwned(id job.ID) *running {
+func (j *Join) findOwned(id job.ID) *runningSubmission {
 	shard := j.shard(id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -159,23 +162,24 @@
 	return nil
 }
 
-// Driving returns how many submissions this entry drives.
+// Driving returns the number of submissions that this entry owns.
 func (j *Join) Driving() int {
-	return j.count(func(r *running) bool { return r.owned })
+	return j.count(func(r *runningSubmission) bool { return r.owned })
 }
 
-// Running returns how many submissions this entry works on.
+// Running returns the number of submissions that run at this entry, including
+// those that it does not own.
 func (j *Join) Running() int {
-	return j.count(func(*running) bool { return true })
+	return j.count(func(*runningSubmission) bool { return true })
 }
 
-func (j *Join) count(counts func(*running) bool) int {
+func (j *Join) count(match func(*runningSubmission) bool) int {
 	n := 0
 	for i := range j.shards {
 		shard := &j.shards[i]
 		shard.mu.Lock()
 		for _, r := range shard.running {
-			if counts(r) {
+			if match(r) {
 				n++
 			}
 		}
--- a/internal/pipeline/join_test.go
+++ b/internal/pipeline/join_test.go
@@ -13,15 +13,15 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// slowEnd answers after a second, or when its context ends, and counts how
-// often it was called.
-type slowEnd struct {
+// slowStage answers after a second, or when its context ends, and counts its
+// calls and cancellations.
+type slowStage struct {
 	join      *Join
 	calls     atomic.Int64
 	cancelled atomic.Int64
 }
 
-func (e *slowEnd) Process(ctx context.Context, f *Flow, _ Next) job.Answer {
+func (e *slowStage) Process(ctx context.Context, f *Flow, _ Next) job.Answer {
 	e.calls.Add(1)
 	if e.join != nil {
 		e.join.Owned(f.Submission.ID)
@@ -41,12 +41,12 @@
 	return &Flow{Submission: s}
 }
 
-// A caller sends a job, loses patience and sends it again over a new
-// connection while the first still runs. It must run once, and both
-// connections must get the answer.
+// A caller sends a job, times out and sends it again over a new connection while
+// the first attempt still runs. The job must run once, and both connections must
+// receive the answer.
 func TestJoinRunsOneIDOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		end := &slowEnd{}
+		end := &slowStage{}
 		join := &Join{Events: timeline.Discard{}}
 		chain := Chain(join, end)
 		answers := make(chan job.Answer, 2)
@@ -63,14 +63,14 @@
 	})
 }
 
-// A caller hangs up. If it holds an id it may come back, so its work goes on
-// and the answer is there for it. If it holds none, nobody can ever get the
-// answer, and going on would take slots from callers who wait.
+// A caller hangs up. If it chose the id, it may ask again, so its job continues
+// and the answer is available. Otherwise nobody can ask for the answer, and
+// continuing would take slots from waiting callers.
 func TestJoinWhenTheCallerHangsUp(t *testing.T) {
 	for _, named := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			join := &Join{Events: timeline.Discard{}}
-			end := &slowEnd{join: join}
+			end := &slowStage{join: join}
 			chain := Chain(join, end)
 			ctx, hangUp := context.WithCancel(t.Context())
 			go chain(ctx, flow("a", named, "1"))
--- a/internal/pipeline/keep.go
+++ b/internal/pipeline/keep.go
@@ -11,23 +11,23 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// Acceptor is a keeper that takes submissions in.
+// Acceptor is a keeper that accepts submissions.
 type Acceptor interface {
 	keep.Journal
 	Accept(ctx context.Context, owner job.Owner, s *job.Submission) error
 }
 
-// Keep has the submissions of services that ask for it kept before anything of
-// them is handed out, and their answers held afterwards.
+// Keep stores submissions at a keeper, for services that ask for it, before any
+// task is handed out, and stores their answers afterwards.
 type Keep struct {
 	Self job.Owner
-	// Choose returns a keeper for a way of keeping, and whether there is one.
+	// Choose returns a keeper for the given keep mode, and whether there is one.
 	Choose func(job.Keep, job.ID) (Acceptor, bool)
 	Events timeline.Sink
 }
 
-// acceptTime bounds the acceptance of a kept submission.
-const acceptTime = 2 * time.Second
+// keeperTimeout limits each request to a keeper to accept or finish a submission.
+const keeperTimeout = 2 * time.Second
 
 // Process implements Stage.
 func (k *Keep) Process(ctx context.Context, f *Flow, next Next) job.Answer {
@@ -47,9 +47,9 @@
 	s := f.Submission
 	keeper, ok := k.Choose(f.Service.Keep, s.ID)
 	if !ok {
-		return job.Refuse(s.ID, job.NotKept, "no entry in reach can keep the submission as its service asks", time.Second), false
+		return job.Refuse(s.ID, job.NotKept, "no reachable entry can keep the submission as its service requires", time.Second), false
 	}
-	ctx, cancel := context.WithTimeout(ctx, acceptTime)
+	ctx, cancel := context.WithTimeout(ctx, keeperTimeout)
 	defer cancel()
 	err := keeper.Accept(ctx, k.Self, s)
 	switch {
@@ -59,15 +59,15 @@
 	case errors.Is(err, keep.ErrNotKept):
 		return job.Refuse(s.ID, job.NotKept, err.Error(), time.Second), false
 	}
-	// It may stand on a disk and be driven on after a crash: to call it "not
-	// run" could make a caller send it again under another id.
+	// The submission may be on a disk and be resumed after a crash. If the answer
+	// said "not run", the caller could send it again under another id.
 	return job.Fail(s.ID, job.NotKept, err.Error()), false
 }
 
-// finish has the answer held. When that can't be confirmed, a crash may drive
-// the submission on, so that the answer can't say "not run" any more.
+// finish stores the answer at the keeper. If the keeper does not confirm it, the
+// submission may be resumed after a crash, so the answer must not say "not run".
 func (k *Keep) finish(f *Flow, a job.Answer) job.Answer {
-	ctx, cancel := context.WithTimeout(context.Background(), acceptTime)
+	ctx, cancel := context.WithTimeout(context.Background(), keeperTimeout)
 	defer cancel()
 	if err := f.Journal.Finish(ctx, f.Submission.ID, f.Submission.Digest, a); err != nil {
 		a.Run = job.MayHaveRun
--- a/internal/pipeline/record.go
+++ b/internal/pipeline/record.go
@@ -10,8 +10,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// Record notes how each submission ended, for the time line and the counters.
-// It is the first stage, so that it sees every answer whatever stage gave it.
+// Record records how each submission ended, in the time line and in counters. It
+// is the first stage, so that it sees the answers of all other stages.
 type Record struct {
 	Events timeline.Sink
 
@@ -32,26 +32,26 @@
 		Took:       time.Since(f.Submission.Received),
 		Ideal:      f.ideal(),
 	}
-	within := job.LateAfter(f.Service.Stretch, f.Service.Slack, ev.Ideal)
-	missed := a.Outcome == job.Complete && within > 0 && ev.Took > within
-	if missed {
-		ev.Cause = fmt.Sprintf("%s, beyond %s", ev.Cause, within)
+	lateAfter := job.LateAfter(f.Service.Stretch, f.Service.Slack, ev.Ideal)
+	late := a.Outcome == job.Complete && lateAfter > 0 && ev.Took > lateAfter
+	if late {
+		ev.Cause = fmt.Sprintf("%s, beyond %s", ev.Cause, lateAfter)
 	}
-	if missed || a.Late {
+	if late || a.Late {
 		ev.Reason = timeline.Late
 	}
 	r.Events.Record(ev)
 	return a
 }
 
-// Refused notes a refusal that was given before there was a submission: its body was not
-// read, or nothing is configured yet. Its caller has an id for it all the same.
+// Refused records a refusal of a request for which no submission was created: its body was
+// not read, or no configuration exists yet. The caller has an id for the request anyway.
 func (r *Record) Refused(a job.Answer) {
 	r.count(&a)
 	r.Events.Record(timeline.Event{Kind: timeline.SubmissionAnswered, Submission: a.ID, Reason: a.Reason, Cause: summary(&a)})
 }
 
-// ideal returns what the work itself is declared to take: its longest task.
+// ideal returns the declared run time of the longest task.
 func (f *Flow) ideal() time.Duration {
 	var longest time.Duration
 	for i := range f.Submission.Tasks {
@@ -83,7 +83,8 @@
 	}
 }
 
-// Counts returns how many submissions ended in each way since the start.
+// Counts returns the number of submissions per outcome and per reason since the
+// start of the entry.
 func (r *Record) Counts() (outcomes map[job.Outcome]uint64, reasons map[job.Reason]uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/pipeline/record_test.go
+++ b/internal/pipeline/record_test.go
@@ -13,9 +13,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// A target stands still and a director's preview comes seconds late, but whole. The
-// director asks why. A late answer is recorded as late and not as one of many
-// successes, whose lines are left out under load.
+// A target is paused, and a director's preview is complete but seconds late. To let the
+// director learn why, a late answer is recorded as late and not as one of many
+// successes, whose log lines are left out under load.
 func TestLateAnswerIsRecordedAsLate(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -31,7 +31,7 @@
 	}
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			kept := &keptEvents{}
+			kept := &recordedEvents{}
 			r := &Record{Events: kept}
 			f := &Flow{
 				Submission: &job.Submission{ID: "j", Received: time.Now(), Tasks: []job.TaskSpec{{RunMillis: 20}, {RunMillis: 50}}},
--- a/internal/pipeline/run.go
+++ b/internal/pipeline/run.go
@@ -15,54 +15,54 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// Causes with which the context of a submission ends.
+// Causes for which the context of a submission is cancelled.
 const (
-	// ErrCancelled says that the caller took the submission back.
+	// ErrCancelled means that the caller cancelled the submission.
 	ErrCancelled = errors.ConstError("cancelled by the caller")
-	// ErrStopping says that the entry's time to stop is over.
-	ErrStopping = errors.ConstError("the entry has to stop before the job could end")
-	// ErrCallerGone says that nobody waits for the answer and nobody can ask
+	// ErrStopping means that the entry's time for a planned stop is over.
+	ErrStopping = errors.ConstError("the entry had to stop before the job ended")
+	// ErrCallerGone means that no caller waits for the answer and none can ask
 	// for it again.
-	ErrCallerGone = errors.ConstError("the caller hung up and holds no id to ask by")
+	ErrCallerGone = errors.ConstError("the caller hung up and has no id with which to ask again")
 )
 
-// deadlineGrace is how long past the deadline the owner waits for its holders'
-// word that nothing had started. Holders drop expired tasks by themselves at
-// the same moment; the word needs one crossing between availability zones
-// (1.5 ms at most today) and a scheduling delay. Without the grace every
-// expired answer would have to say "may have run".
+// deadlineGrace is how long after the deadline the owner waits for holders to
+// report that no task had started. Holders drop expired tasks themselves at the
+// deadline; the report takes one trip between availability zones (1.5 ms at most
+// today) and a scheduling delay. Without the grace period, every expired answer
+// would have to say "may have run".
 const deadlineGrace = 20 * time.Millisecond
 
-// Part is the share of a submission that goes to one holder.
+// Part is the set of a submission's tasks that is offered to one holder.
 type Part struct {
 	Holder job.EntryID
 	Tasks  []int
 }
 
-// Holders is the owner's way to the holders of targets.
+// Holders is the owner's client to the holders of targets.
 type Holders interface {
-	// Place splits tasks over holders other than those in without. Without any
-	// part it gives the reason: NoTarget or Infeasible.
-	Place(now time.Time, f *Flow, tasks []int, without []job.EntryID) ([]Part, job.Reason)
-	// Offer hands a batch over; report is called once with all outcomes or
-	// early with a failure, from any goroutine.
+	// Place splits tasks over holders other than the excluded ones. If it returns
+	// no part, the reason is NoTarget or Infeasible.
+	Place(now time.Time, f *Flow, tasks []int, excluded []job.EntryID) ([]Part, job.Reason)
+	// Offer sends a batch to a holder. It calls report once, from any goroutine,
+	// with all outcomes or early with a failure.
 	Offer(to job.EntryID, pool string, b *job.Batch, report func([]job.TaskOutcome))
-	// Cancel asks the holder to drop what is left of the submission.
+	// Cancel asks the holder to drop the remaining tasks of the submission.
 	Cancel(to job.EntryID, owner job.Owner, id job.ID)
 }
 
-// Run is the last stage: it splits the submission over holders and collects
-// the outcomes into one answer. It alone decides, for the submissions of this
-// entry, that a task is handed to a holder.
+// Run is the last stage: it splits the submission over holders and collects the
+// outcomes into one answer. Only Run hands tasks of this entry's submissions to
+// holders.
 type Run struct {
 	Self    job.Owner
 	Holders Holders
 	Events  timeline.Sink
-	// Crashes keeps what is held against tasks under which targets ended; nil keeps none.
+	// Crashes tracks the tasks whose targets ended while running them; nil disables this.
 	Crashes *crash.Book
 }
 
-// flight is a submission whose tasks are with holders.
+// flight is a submission whose tasks are placed on holders.
 type flight struct {
 	stage *Run
 	flow  *Flow
@@ -70,35 +70,35 @@
 
 	mu        sync.Mutex
 	collector *Collector
-	placing   placing
-	// granted are the tasks that the keeper has granted to this flight.
+	placement placement
+	// granted has the tasks that the keeper has granted to this flight.
 	granted map[int]bool
 }
 
-// Process implements Stage. It returns when the answer is decided; it never
-// waits for a task whose job can no longer be complete.
+// Process implements Stage. It returns once the answer is decided, without
+// waiting for the remaining tasks of a job that can no longer be complete.
 func (r *Run) Process(ctx context.Context, f *Flow, _ Next) job.Answer {
 	fl := &flight{
 		stage:     r,
 		flow:      f,
 		done:      make(chan job.Answer, 1),
 		collector: NewCollector(f.Submission, f.Started, f.Held),
-		placing:   newPlacing(),
+		placement: newPlacement(),
 		granted:   map[int]bool{},
 	}
-	if blamed := fl.blamed(); blamed != nil {
-		fl.giveUp(blamed, job.TaskOutcome{Status: job.TaskErred, Reason: job.TaskCrashes, Detail: "targets ended each time a task of the job ran on them"})
+	if crashingTasks := fl.crashingTasks(); crashingTasks != nil {
+		fl.abandon(crashingTasks, job.TaskOutcome{Status: job.TaskErred, Reason: job.TaskCrashes, Detail: "targets ended each time a task of the job ran on them"})
 	} else {
 		fl.offer(fl.collector.Open())
 	}
 	answer := fl.wait(ctx)
-	r.mark(f, &answer)
+	r.markLate(f, &answer)
 	return answer
 }
 
-// blamed returns the tasks under which too many targets have ended already, under another
-// owner; nil for none.
-func (fl *flight) blamed() []int {
+// crashingTasks returns the tasks that may not start because too many targets have already
+// ended while running them under another owner; nil if there are none.
+func (fl *flight) crashingTasks() []int {
 	if fl.stage.Crashes == nil {
 		return nil
 	}
@@ -115,8 +115,8 @@
 	return crash.Task{Submission: fl.flow.Submission.ID, Index: index}
 }
 
-// learnCrashes takes in which targets ended under tasks, for whoever is offered them next.
-func (fl *flight) learnCrashes(outcomes []job.TaskOutcome) {
+// recordCrashes records which targets ended while running tasks, for later offers of the tasks.
+func (fl *flight) recordCrashes(outcomes []job.TaskOutcome) {
 	if fl.stage.Crashes == nil {
 		return
 	}
@@ -126,9 +126,9 @@
 	}
 }
 
-// mark flags an answer that came after the deadline of a service which takes
-// late answers.
-func (r *Run) mark(f *Flow, a *job.Answer) {
+// markLate sets Late on a complete answer that came after the deadline. Only
+// services that allow late answers have such answers.
+func (r *Run) markLate(f *Flow, a *job.Answer) {
 	deadline := f.Submission.Deadline
 	a.Late = a.Outcome == job.Complete && !deadline.IsZero() && time.Now().After(deadline)
 }
@@ -170,8 +170,8 @@
 	return job.Failed, job.Internal
 }
 
-// offer places tasks and hands them over, one batch a holder. Tasks without a
-// holder wait for one or end, as placing decides.
+// offer places tasks and sends one batch to each holder. Tasks without a holder
+// wait for one or end, as placement decides.
 func (fl *flight) offer(tasks []int) {
 	if len(tasks) == 0 {
 		fl.report("", nil)
@@ -187,68 +187,69 @@
 		fl.mu.Unlock()
 		return
 	}
-	exhausted := fl.placing.exhausted(fl.collector.Done())
-	refused, without := fl.placing.refusal.Reason, fl.placing.without()
+	exhausted := fl.placement.exhausted(fl.collector.Done())
+	refused, excluded := fl.placement.refusal.Reason, fl.placement.excluded()
 	fl.mu.Unlock()
 	if exhausted {
 		fl.unplaced(now, tasks, refused)
 		return
 	}
-	parts, reason := fl.stage.Holders.Place(now, fl.flow, tasks, without)
+	parts, reason := fl.stage.Holders.Place(now, fl.flow, tasks, excluded)
 	if len(parts) == 0 {
 		fl.unplaced(now, tasks, reason)
 		return
 	}
 	if refused, ok := fl.grant(tasks); !ok {
-		fl.giveUp(tasks, refused)
+		fl.abandon(tasks, refused)
 		return
 	}
 	fl.mu.Lock()
 	finished := fl.collector.Finished()
-	committed := fl.placing.committed(fl.collector.Done())
+	committed := fl.placement.committed(fl.collector.Done())
 	if !finished {
 		fl.collector.Offered()
-		fl.placing.offered(now, parts)
+		fl.placement.offered(now, parts)
 	}
 	fl.mu.Unlock()
 	if finished {
 		return
 	}
 	for _, p := range parts {
-		if fl.over() {
+		if fl.decided() {
 			return
 		}
-		fl.handOver(now, p, committed)
-		if fl.over() {
-			// The submission may have ended while this batch was on its way;
-			// the cancellation came before it then and met nothing.
+		fl.sendBatch(now, p, committed)
+		if fl.decided() {
+			// The submission may have ended while this batch was being sent, so
+			// that its cancellation reached the holder before the batch.
 			fl.stage.Holders.Cancel(p.Holder, fl.stage.Self, fl.flow.Submission.ID)
 		}
 	}
 }
 
-// over reports whether the end of the submission is decided.
-func (fl *flight) over() bool {
+// decided reports whether the answer to the submission is decided.
+func (fl *flight) decided() bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.collector.Finished()
 }
 
-// unplaced meets tasks for which there is no holder at this moment.
+// unplaced schedules another offer of tasks that have no holder at present,
+// or abandons them.
 func (fl *flight) unplaced(now time.Time, tasks []int, reason job.Reason) {
 	fl.mu.Lock()
-	end, wait := fl.placing.unplaced(now, reason, fl.collector.Done())
-	begun := fl.placing.committed(fl.collector.Done())
+	end, wait := fl.placement.unplaced(now, reason, fl.collector.Done())
+	started := fl.placement.committed(fl.collector.Done())
 	fl.mu.Unlock()
-	if wait && (begun || fl.flow.ofUse(now)) {
-		time.AfterFunc(placeAgainAfter, func() { fl.offer(tasks) })
+	if wait && (started || fl.flow.stillUseful(now)) {
+		time.AfterFunc(placeRetryDelay, func() { fl.offer(tasks) })
 		return
 	}
-	fl.giveUp(tasks, end)
+	fl.abandon(tasks, end)
 }
 
-// giveUp ends tasks that no holder gets.
-func (fl *flight) giveUp(tasks []int, end job.TaskOutcome) {
+// abandon ends tasks that are not offered to any holder.
+func (fl *flight) abandon(tasks []int, end job.TaskOutcome) {
 	outcomes := make([]job.TaskOutcome, len(tasks))
 	for i, task := range tasks {
 		outcomes[i] = end
@@ -260,26 +261,27 @@
 	fl.act(v)
 }
 
-// grantTime bounds one grant: a synced write takes several milliseconds, and
-// several of them may wait for one disk.
-const grantTime = 2 * time.Second
+// grantTimeout limits one grant: a synced write takes several milliseconds, and
+// several writes may wait for the same disk.
+const grantTimeout = 2 * time.Second
 
-// grant has the keeper of a kept submission grant the tasks to this entry
-// before any holder gets them. Tasks that it granted before stay granted.
+// grant asks the keeper of a kept submission to grant the tasks to this entry
+// before any holder receives them. It does not ask again for tasks that are
+// already granted to this flight.
 func (fl *flight) grant(tasks []int) (refused job.TaskOutcome, ok bool) {
 	if fl.flow.Journal == nil {
 		return job.TaskOutcome{}, true
 	}
-	ask := fl.ungranted(tasks)
-	if len(ask) == 0 {
+	toGrant := fl.ungranted(tasks)
+	if len(toGrant) == 0 {
 		return job.TaskOutcome{}, true
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), grantTime)
+	ctx, cancel := context.WithTimeout(context.Background(), grantTimeout)
 	defer cancel()
-	err := fl.flow.Journal.Grant(ctx, fl.flow.Submission.ID, ask)
+	err := fl.flow.Journal.Grant(ctx, fl.flow.Submission.ID, toGrant)
 	switch {
 	case err == nil:
-		fl.noteGranted(ask)
+		fl.markGranted(toGrant)
 		return job.TaskOutcome{}, true
 	case errors.Is(err, keep.ErrGranted):
 		return job.TaskOutcome{Status: job.TaskErred, Reason: job.OwnerLost, Detail: err.Error()}, false
@@ -299,7 +301,7 @@
 	return out
 }
 
-func (fl *flight) noteGranted(tasks []int) {
+func (fl *flight) markGranted(tasks []int) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	for _, task := range tasks {
@@ -307,7 +309,7 @@
 	}
 }
 
-func (fl *flight) handOver(now time.Time, p Part, committed bool) {
+func (fl *flight) sendBatch(now time.Time, p Part, committed bool) {
 	s := fl.flow.Submission
 	b := &job.Batch{
 		Owner:      fl.stage.Self,
@@ -338,13 +340,13 @@
 	fl.stage.Holders.Offer(p.Holder, fl.flow.Service.Pool, b, func(outcomes []job.TaskOutcome) { fl.report(p.Holder, outcomes) })
 }
 
-// report takes a holder's outcomes. It may be called from any goroutine, also
-// within Offer.
+// report processes a holder's outcomes. It may be called from any goroutine, even
+// during Offer.
 func (fl *flight) report(from job.EntryID, outcomes []job.TaskOutcome) {
-	fl.learnCrashes(outcomes)
+	fl.recordCrashes(outcomes)
 	fl.mu.Lock()
 	v := fl.collector.Add(outcomes)
-	fl.placing.reported(from, outcomes)
+	fl.placement.reported(from, outcomes)
 	fl.mu.Unlock()
 	fl.act(v)
 }
@@ -363,20 +365,20 @@
 	}
 }
 
-// stop ends a submission before all its tasks have ended.
+// stop ends a submission before all of its tasks have ended.
 func (fl *flight) stop(outcome job.Outcome, reason job.Reason, detail string) {
-	fl.tellAwaited(reason)
+	fl.recordAwaited(reason)
 	fl.mu.Lock()
 	v := fl.collector.Stop(outcome, reason, detail)
 	fl.mu.Unlock()
 	fl.act(v)
 }
 
-// tellAwaited records for whom a submission waited that ends without them: the owner
-// alone knows, and where the holder is cut off or paused its own records can't be had.
-func (fl *flight) tellAwaited(reason job.Reason) {
+// recordAwaited records the holders that a submission still waits for when it is stopped.
+// Only the owner knows them: the records of a partitioned or paused holder are unavailable.
+func (fl *flight) recordAwaited(reason job.Reason) {
 	fl.mu.Lock()
-	awaited := maps.Clone(fl.placing.open)
+	awaited := maps.Clone(fl.placement.open)
 	fl.mu.Unlock()
 	for _, holder := range slices.Sorted(maps.Keys(awaited)) {
 		h := awaited[holder]
@@ -387,18 +389,18 @@
 	}
 }
 
-// withdrawTime bounds how long a failed submission waits for its holders' word
-// that nothing of it ran: a crossing both ways and the pause of a busy VM. A
-// caller that is told "not run" may turn elsewhere; any other word leaves it in
-// doubt.
-const withdrawTime = 50 * time.Millisecond
+// withdrawTimeout limits how long a failed submission waits for its holders to
+// report that no task ran: a round trip between zones and a pause of a busy VM.
+// After "not run" the caller may send the job elsewhere; any other answer leaves
+// it uncertain.
+const withdrawTimeout = 50 * time.Millisecond
 
-// withdraw takes the rest of a failed submission back from its holders.
+// withdraw cancels the remaining tasks of a failed submission at their holders.
 func (fl *flight) withdraw() {
 	fl.mu.Lock()
-	holders := fl.placing.working()
+	holders := fl.placement.openHolders()
 	fl.mu.Unlock()
-	time.AfterFunc(withdrawTime, func() {
+	time.AfterFunc(withdrawTimeout, func() {
 		fl.mu.Lock()
 		v := fl.collector.Conclude()
 		fl.mu.Unlock()
@@ -409,12 +411,12 @@
 	}
 }
 
-// finish hands the answer out and takes the rest back from the holders, so
-// that tasks of a job that can't be complete stop costing anybody anything.
+// finish delivers the answer and cancels the remaining tasks at their holders, so
+// that a job that can no longer be complete uses no more resources.
 func (fl *flight) finish(a job.Answer) {
 	fl.done <- a
 	fl.mu.Lock()
-	holders := fl.placing.working()
+	holders := fl.placement.openHolders()
 	fl.mu.Unlock()
 	for _, h := range holders {
 		fl.stage.Holders.Cancel(h, fl.stage.Self, fl.flow.Submission.ID)
--- a/internal/pipeline/run_test.go
+++ b/internal/pipeline/run_test.go
@@ -14,8 +14,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// twoHolders gives each of two tasks to a holder of its own, and lets the
-// first one fail when failAt is offered its task.
+// twoHolders places each of two tasks on its own holder. The first holder reports
+// a failure when the holder failAt is offered its task.
 type twoHolders struct {
 	failAt job.EntryID
 	first  func([]job.TaskOutcome)
@@ -40,10 +40,10 @@
 	h.log = append(h.log, "cancelled at "+string(to))
 }
 
-// The first holder fails its part while the second one's batch is still on its
-// way. The job can't be complete any more, so the second must not get its
-// tasks, or must be told to drop them after it got them: otherwise they run
-// for nobody.
+// The first holder reports a failure while the batch of the second is still being
+// sent. The job can no longer be complete, so the second holder must either not
+// receive its tasks or receive a cancellation afterwards. Otherwise the tasks run
+// in vain.
 func TestFailureWhileBatchesAreHandedOut(t *testing.T) {
 	cases := map[job.EntryID]struct {
 		never, last string
@@ -63,34 +63,34 @@
 	}
 }
 
-// silentHolder is a pair of holders of which the second never reports.
-type silentHolder struct{ twoHolders }
+// unresponsiveHolder is a pair of holders of which the second never reports.
+type unresponsiveHolder struct{ twoHolders }
 
-func (h *silentHolder) Offer(to job.EntryID, _ string, b *job.Batch, report func([]job.TaskOutcome)) {
+func (h *unresponsiveHolder) Offer(to job.EntryID, _ string, b *job.Batch, report func([]job.TaskOutcome)) {
 	if to == "h1" {
 		report([]job.TaskOutcome{{Index: b.Tasks[0].Index, Status: job.TaskDone}})
 	}
 }
 
-// keptEvents keeps what the stages record.
-type keptEvents struct {
+// recordedEvents stores the events that the stages record.
+type recordedEvents struct {
 	mu  sync.Mutex
 	all []timeline.Event
 }
 
-func (k *keptEvents) Record(ev timeline.Event) {
+func (k *recordedEvents) Record(ev timeline.Event) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.all = append(k.all, ev)
 }
 
-// A holder is cut off with a part of a job. The caller waits two seconds and hangs up,
-// and the holder's own records can't be had. The engineer on call, who has the
-// request's id, must learn from the owner which entry the answer waited for.
-func TestWhomAnUnansweredSubmissionWaitedForIsRecorded(t *testing.T) {
+// A holder with a part of a job is partitioned. The caller hangs up after two seconds,
+// and the holder's own records are unavailable. The engineer on call, who has the
+// request's id, must learn from the owner's records which entry the job waited for.
+func TestHoldersOfAnUnansweredSubmissionAreRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		events := &keptEvents{}
-		r := &Run{Holders: &silentHolder{}, Events: events}
+		events := &recordedEvents{}
+		r := &Run{Holders: &unresponsiveHolder{}, Events: events}
 		ctx, hangUp := context.WithCancelCause(t.Context())
 		time.AfterFunc(2*time.Second, func() { hangUp(ErrCallerGone) })
 		r.Process(ctx, &Flow{Submission: &job.Submission{ID: "j", Tasks: make([]job.TaskSpec, 2)}}, nil)
--- a/internal/pipeline/stage.go
+++ b/internal/pipeline/stage.go
@@ -1,11 +1,11 @@
-// Package pipeline is the path of a submission at its owner: a chain of stages
-// from the checked request to the whole answer. Each stage has one job, takes a
-// Flow and either answers it or hands it on:
+// Package pipeline processes a submission at its owner: a chain of stages leads
+// from the checked request to the complete answer. Each stage has one purpose; it
+// receives a Flow and either answers it or passes it to the next stage:
 //
 //	check → join → claim → keep → admit → run
 //
-// The stages do the locking and the I/O; what they decide stands in the pure
-// packages under internal/policy and in Collector.
+// The stages do the locking and the I/O. The decisions are made by Collector and
+// by the packages under internal/policy, which do neither.
 package pipeline
 
 import (
@@ -17,32 +17,34 @@
 	"github.com/vanillagrade/vanillagrade/internal/keep"
 )
 
-// Flow is one submission on its way through the stages.
+// Flow is the state of one submission that passes through the stages.
 type Flow struct {
 	Submission *job.Submission
-	// File is the configuration that the whole submission is decided by, taken
-	// once at the check stage so that a change in mid-flight can't mix two.
+	// File is the configuration that applies to the whole submission. The check
+	// stage sets it once, so that a configuration change while the submission is
+	// processed has no effect on it.
 	File    *config.File
 	Service config.Service
-	// Started names tasks that an earlier owner may have started; they never
-	// start again. Nil for a first submission.
+	// Started has the tasks that an earlier owner may have started; they never
+	// start again. It is nil for a new submission.
 	Started map[int]bool
-	// Held are results that an earlier owner had collected.
+	// Held has the results that an earlier owner had collected.
 	Held []job.TaskOutcome
-	// Resumed is set for a kept submission that is driven on after its owner
-	// was lost: it was checked, claimed and admitted before.
+	// Resumed is set for a kept submission that is resumed after its owner was
+	// lost: it was already checked, claimed and admitted.
 	Resumed bool
-	// Refusal is what the claim answers if nothing of the submission ever ran.
+	// Refusal is the answer of the claim stage if no task of the submission ever ran.
 	Refusal *job.Answer
-	// Right is this entry's right to go on for the caller; nil for work that needs none.
+	// Right is this entry's right to act for the caller; nil for work that needs none.
 	Right job.Right
-	// Journal is the keeper of a kept submission, nil for others.
+	// Journal is the keeper of a kept submission; nil for others.
 	Journal keep.Journal
 }
 
-// ofUse reports whether an answer would still be of use if the work started now. A job that
-// nothing has begun for is given back then: its caller can still turn elsewhere.
-func (f *Flow) ofUse(now time.Time) bool {
+// stillUseful reports whether the answer would still be useful if the work started now. If
+// not, a job of which nothing has started is refused, so that its caller can still send it
+// elsewhere.
+func (f *Flow) stillUseful(now time.Time) bool {
 	if f.Service.Stretch <= 0 {
 		return true
 	}
@@ -56,14 +58,14 @@
 
 // Stage is one filter of the chain.
 type Stage interface {
-	// Process answers the flow, or calls next and may look at its answer.
+	// Process answers the flow itself, or calls next and may inspect its answer.
 	Process(ctx context.Context, f *Flow, next Next) job.Answer
 }
 
-// Chain joins stages into one Next. The last stage must not call its next.
+// Chain combines stages into one Next. The last stage must not call next.
 func Chain(stages ...Stage) Next {
 	next := func(_ context.Context, f *Flow) job.Answer {
-		return job.Refuse(f.Submission.ID, job.Internal, "the chain of stages has no end", 0)
+		return job.Refuse(f.Submission.ID, job.Internal, "the last stage of the chain called next", 0)
 	}
 	chained := Next(next)
 	for i := len(stages) - 1; i >= 0; i-- {
--- a/internal/pipeline/useful_test.go
+++ b/internal/pipeline/useful_test.go
@@ -12,11 +12,11 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// emptyHolder gives each batch back, since it holds no target.
+// emptyHolder returns each batch unstarted, since it holds no target.
 type emptyHolder struct{}
 
-func (emptyHolder) Place(_ time.Time, _ *Flow, tasks []int, without []job.EntryID) ([]Part, job.Reason) {
-	if len(without) > 0 {
+func (emptyHolder) Place(_ time.Time, _ *Flow, tasks []int, excluded []job.EntryID) ([]Part, job.Reason) {
+	if len(excluded) > 0 {
 		return nil, job.NoTarget
 	}
 	return []Part{{Holder: "h", Tasks: tasks}}, ""
@@ -32,10 +32,10 @@
 
 func (emptyHolder) Cancel(job.EntryID, job.Owner, job.ID) {}
 
-// Holders give a job back again and again since their targets change hands. Its caller is
-// told that nothing ran as soon as an answer would be of no use any more, not when its own
-// patience ends: until then it can still turn elsewhere.
-func TestAJobIsNotHeldForLongerThanItsAnswerIsOfUse(t *testing.T) {
+// Holders return a job repeatedly because their targets are moving between holders. As soon
+// as an answer would no longer be useful, the caller must receive "not run", and not only
+// at its own timeout: until then it can still send the job elsewhere.
+func TestUnstartedJobEndsOnceItsAnswerIsUseless(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
 		r := &Run{Holders: emptyHolder{}, Events: timeline.Discard{}}
