--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -1,20 +1,19 @@
-// Package keep holds the submissions of services that ask for more than the
-// registrars' memory: on a disk (synced) or in a second entry's memory
+// Package keep stores the submissions of services that require more than the
+// registrars' memory: on a disk (synced) or in the memory of a second entry
 // (replicated), from their acceptance until nobody asks for their answer.
 //
-// The pattern that it answers is the loss of an entry with accepted work that
-// must not be lost, such as a spill forecast. Without it the caller of a lost
-// entry would have to notice and send the job again, and nobody could tell which
-// of its tasks had run.
+// It protects accepted work that must not be lost with an entry, such as a spill
+// forecast. Without it, the caller of a lost entry would have to notice the loss
+// and send the job again, and nobody would know which of its tasks had run.
 //
-// Each kept submission has one Keeper, and everybody who wants to hand one of
-// its tasks to a holder, its owner or whoever drives it on, must have the task
-// granted there first. A keeper grants each task once, ever. So it does no harm
-// that two entries drive a submission on after a cut in which each took the
-// other for lost: a task that the one was granted is refused to the other. What
-// a crash leaves is then exact: tasks that were never granted may start, those
-// that were never do again, and the job is complete only if their results are
-// found.
+// Each kept submission has one Keeper. An entry that wants to hand one of its
+// tasks to a holder, as the original owner or to resume the submission, must first
+// have the keeper grant the task. A keeper grants each task at most once, ever.
+// Two entries may therefore safely process a submission after a partition in which
+// each considered the other lost: a task granted to one is refused to the other.
+// After a crash the state is exact: tasks that were never granted may start,
+// granted tasks never start again, and the job is complete only if the results of
+// the granted tasks are found.
 package keep
 
 import (
@@ -28,69 +27,69 @@
 	"github.com/vanillagrade/vanillagrade/internal/storage"
 )
 
-// Errors of a keeper. The difference is what a caller may be told.
+// Errors of a keeper. They determine what the answer to the caller may say.
 const (
-	// ErrNotKept says that the submission is certainly not kept.
+	// ErrNotKept means that the submission is certainly not kept.
 	ErrNotKept = errors.ConstError("keep: not kept")
-	// ErrUncertain says that it may be kept and driven on later.
+	// ErrUncertain means that the submission may be kept and resumed later.
 	ErrUncertain = errors.ConstError("keep: may be kept")
-	// ErrGranted says that another driver of the submission was granted a task
-	// that was asked for.
-	ErrGranted = errors.ConstError("keep: a task was granted before")
+	// ErrGranted means that a requested task was already granted, to this entry
+	// or to another one, or that the submission is no longer open.
+	ErrGranted = errors.ConstError("keep: a task was already granted")
 )
 
-// Bounds of what a keeper holds in memory.
+// Limits on what a keeper holds in memory.
 const (
-	// maxAnswers and maxAnswerBytes bound the answers held for callers that
-	// come back; the oldest go first.
+	// maxAnswers and maxAnswerBytes limit the answers held for callers that ask
+	// again; the oldest are dropped first.
 	maxAnswers     = 8192
 	maxAnswerBytes = 16 << 20
-	// maxOpenBytes bounds the submissions that are kept and unfinished; more
-	// are refused as not kept.
+	// maxOpenBytes limits the kept submissions without an answer; further ones
+	// are refused with ErrNotKept.
 	maxOpenBytes = 128 << 20
 )
 
-// Kept is one submission with what must outlive its owner.
+// Kept is one submission with the data that must outlive its owner.
 type Kept struct {
 	Owner      job.Owner      `cbor:"1,keyasint"`
 	Submission job.Submission `cbor:"2,keyasint"`
-	// Granted are the tasks that may have been handed to a holder.
+	// Granted has the tasks that may have been handed to a holder.
 	Granted []int `cbor:"-"`
 }
 
-// finished is the end of a kept submission.
-type finished struct {
+// finishedSubmission is the answer to a kept submission.
+type finishedSubmission struct {
 	Digest job.Digest `cbor:"1,keyasint"`
 	Answer job.Answer `cbor:"2,keyasint"`
 }
 
-// open is a kept submission without an answer.
-type open struct {
+// openSubmission is a kept submission without an answer.
+type openSubmission struct {
 	mu      sync.Mutex
 	kept    Kept
 	granted map[int]bool
 	bytes   int
-	// stored is set once the submission outlives a crash as promised.
+	// stored is set once the submission is as durable as its service requires.
 	stored bool
 }
 
-// Keeper keeps submissions for the entries, in memory and, where the entry has
-// a disk, in its log.
+// Keeper stores submissions for all entries: in memory and, if this entry has a
+// disk, in a log.
 type Keeper struct {
 	log *storage.SubmissionLog
 
-	mu        sync.Mutex
-	open      map[job.ID]*open
-	openBytes int
-	answers   map[job.ID]finished
-	order     []job.ID
-	bytes     int
+	mu          sync.Mutex
+	open        map[job.ID]*openSubmission
+	openBytes   int
+	answers     map[job.ID]finishedSubmission
+	answerOrder []job.ID
+	heldBytes   int
 }
 
-// New returns a keeper; log is nil on an entry without a disk. What the log
-// holds is there at once.
+// New returns a keeper with the submissions and answers of the log; log is nil on
+// an entry without a disk.
 func New(log *storage.SubmissionLog) (*Keeper, error) {
-	k := &Keeper{log: log, open: map[job.ID]*open{}, answers: map[job.ID]finished{}}
+	k := &Keeper{log: log, open: map[job.ID]*openSubmission{}, answers: map[job.ID]finishedSubmission{}}
 	if log == nil {
 		return k, nil
 	}
@@ -105,7 +104,7 @@
 func (k *Keeper) replay(r storage.Record) error {
 	switch r.Kind {
 	case storage.RecordAccepted:
-		o := &open{granted: map[int]bool{}, bytes: len(r.Body), stored: true}
+		o := &openSubmission{granted: map[int]bool{}, bytes: len(r.Body), stored: true}
 		if err := cbor.Unmarshal(r.Body, &o.kept); err != nil {
 			return errors.Trace(err)
 		}
@@ -118,34 +117,34 @@
 			}
 		}
 	case storage.RecordFinished:
-		var f finished
+		var f finishedSubmission
 		if err := cbor.Unmarshal(r.Body, &f); err != nil {
 			return errors.Trace(err)
 		}
-		k.end(r.ID, f)
+		k.holdAnswer(r.ID, f)
 	case storage.RecordForgotten:
 	}
 	return nil
 }
 
-// HasDisk reports whether the keeper's submissions outlive a crash.
+// HasDisk reports whether the keeper's submissions survive a crash of this entry.
 func (k *Keeper) HasDisk() bool { return k.log != nil }
 
-// Accept keeps a submission. When it returns nil the submission outlives its
-// owner, and with a disk also a crash of this entry. Its error is or wraps
+// Accept stores a submission. Once it returns nil, the submission survives the
+// loss of its owner and, with a disk, a crash of this entry. An error is or wraps
 // ErrNotKept or ErrUncertain.
 func (k *Keeper) Accept(ctx context.Context, owner job.Owner, s *job.Submission) error {
 	body, err := cbor.Marshal(Kept{Owner: owner, Submission: *s})
 	if err != nil {
 		return errors.Annotatef(ErrNotKept, "encoding: %v", err)
 	}
-	o := &open{kept: Kept{Owner: owner, Submission: *s}, granted: map[int]bool{}, bytes: len(body)}
-	if err := k.put(s.ID, o); err != nil {
+	o := &openSubmission{kept: Kept{Owner: owner, Submission: *s}, granted: map[int]bool{}, bytes: len(body)}
+	if err := k.addOpen(s.ID, o); err != nil {
 		return err
 	}
-	if err := k.append(ctx, storage.Record{Kind: storage.RecordAccepted, ID: s.ID, Body: body}); err != nil {
+	if err := k.appendLog(ctx, storage.Record{Kind: storage.RecordAccepted, ID: s.ID, Body: body}); err != nil {
 		if errors.Is(err, ErrNotKept) {
-			k.drop(s.ID, o)
+			k.removeRejected(s.ID, o)
 		}
 		return err
 	}
@@ -155,11 +154,11 @@
 	return nil
 }
 
-func (k *Keeper) put(id job.ID, o *open) error {
+func (k *Keeper) addOpen(id job.ID, o *openSubmission) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.open[id] != nil {
-		return errors.Annotatef(ErrUncertain, "submission %s is kept already", id)
+		return errors.Annotatef(ErrUncertain, "submission %s is already kept", id)
 	}
 	if k.openBytes+o.bytes > maxOpenBytes {
 		return errors.Annotate(ErrNotKept, "the keeper's memory is full")
@@ -169,7 +168,7 @@
 	return nil
 }
 
-func (k *Keeper) drop(id job.ID, o *open) {
+func (k *Keeper) removeRejected(id job.ID, o *openSubmission) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.open[id] == o {
@@ -178,8 +177,8 @@
 	}
 }
 
-// append writes to the log where there is one.
-func (k *Keeper) append(ctx context.Context, r storage.Record) error {
+// appendLog writes a record to the log, if there is one.
+func (k *Keeper) appendLog(ctx context.Context, r storage.Record) error {
 	if k.log == nil {
 		return nil
 	}
@@ -193,8 +192,9 @@
 	return errors.Annotate(ErrUncertain, err.Error())
 }
 
-// Grant lets the asker hand tasks to a holder, if none of them was granted to
-// anybody before. It is on disk, where there is one, before it returns nil.
+// Grant allows the requesting entry to hand the tasks to holders, if none of them
+// was granted before. The grants are on disk, if there is one, before Grant
+// returns nil.
 func (k *Keeper) Grant(ctx context.Context, id job.ID, tasks []int) error {
 	k.mu.Lock()
 	o := k.open[id]
@@ -209,38 +209,40 @@
 			return errors.Annotatef(ErrGranted, "task %d of submission %s", task, id)
 		}
 	}
-	// The grants stand in memory before they are written: after a failed write
-	// it is not known whether they are on the disk, so nobody gets them.
+	// The grants are recorded in memory before they are written: after a failed
+	// write it is unknown whether they are on the disk, so the tasks must not be
+	// granted to anyone.
 	for _, task := range tasks {
 		o.granted[task] = true
 	}
-	return k.append(ctx, storage.Record{Kind: storage.RecordHanded, ID: id, Tasks: tasks})
+	return k.appendLog(ctx, storage.Record{Kind: storage.RecordHanded, ID: id, Tasks: tasks})
 }
 
-// Finish holds the answer for a caller that comes back; one of which nothing
-// ran is forgotten, so that its id may be sent again. Its error says that a
-// crash may drive the submission on although it has an answer.
+// Finish stores the answer for a caller that asks again. A submission that provably
+// did not run is forgotten instead, so that its id may be sent again. An error
+// means that the submission may be resumed after a crash although it has an
+// answer.
 func (k *Keeper) Finish(ctx context.Context, id job.ID, digest job.Digest, a job.Answer) error {
 	if a.Run.Proven() {
-		err := k.append(ctx, storage.Record{Kind: storage.RecordForgotten, ID: id})
-		k.close(id)
+		err := k.appendLog(ctx, storage.Record{Kind: storage.RecordForgotten, ID: id})
+		k.removeOpen(id)
 		return err
 	}
-	f := finished{Digest: digest, Answer: a}
+	f := finishedSubmission{Digest: digest, Answer: a}
 	body, err := cbor.Marshal(f)
 	if err != nil {
 		return errors.Annotatef(ErrUncertain, "encoding: %v", err)
 	}
-	err = k.append(ctx, storage.Record{Kind: storage.RecordFinished, ID: id, Body: body})
-	k.close(id)
+	err = k.appendLog(ctx, storage.Record{Kind: storage.RecordFinished, ID: id, Body: body})
+	k.removeOpen(id)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.end(id, f)
+	k.holdAnswer(id, f)
 	return err
 }
 
-// close forgets a submission that is open.
-func (k *Keeper) close(id job.ID) {
+// removeOpen removes a submission that has ended.
+func (k *Keeper) removeOpen(id job.ID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if o := k.open[id]; o != nil {
@@ -249,19 +251,20 @@
 	}
 }
 
-// end holds an answer; the caller holds k.mu or is New.
-func (k *Keeper) end(id job.ID, f finished) {
-	if _, again := k.answers[id]; again {
+// holdAnswer stores an answer and drops the oldest ones beyond the limits. The
+// caller holds k.mu or is New.
+func (k *Keeper) holdAnswer(id job.ID, f finishedSubmission) {
+	if _, exists := k.answers[id]; exists {
 		return
 	}
 	k.answers[id] = f
-	k.order = append(k.order, id)
-	k.bytes += answerBytes(&f.Answer)
-	for len(k.order) > maxAnswers || k.bytes > maxAnswerBytes {
-		oldest := k.order[0]
-		k.order = k.order[1:]
+	k.answerOrder = append(k.answerOrder, id)
+	k.heldBytes += answerBytes(&f.Answer)
+	for len(k.answerOrder) > maxAnswers || k.heldBytes > maxAnswerBytes {
+		oldest := k.answerOrder[0]
+		k.answerOrder = k.answerOrder[1:]
 		old := k.answers[oldest]
-		k.bytes -= answerBytes(&old.Answer)
+		k.heldBytes -= answerBytes(&old.Answer)
 		delete(k.answers, oldest)
 	}
 }
@@ -274,7 +277,7 @@
 	return n
 }
 
-// Answer returns the held answer of an ended submission.
+// Answer returns the held answer to a finished submission.
 func (k *Keeper) Answer(id job.ID) (a job.Answer, digest job.Digest, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -282,28 +285,28 @@
 	return f.Answer, f.Digest, ok
 }
 
-// Open returns the kept submissions without an answer for which gone reports
-// that their owner's life has ended.
-func (k *Keeper) Open(gone func(job.Owner) bool) []Kept {
+// Open returns the kept submissions without an answer for which isGone reports
+// that the incarnation of their owner has ended.
+func (k *Keeper) Open(isGone func(job.Owner) bool) []Kept {
 	k.mu.Lock()
-	all := make([]*open, 0, len(k.open))
+	all := make([]*openSubmission, 0, len(k.open))
 	for _, o := range k.open {
 		all = append(all, o)
 	}
 	k.mu.Unlock()
 	var out []Kept
 	for _, o := range all {
-		if kept, ok := o.orphan(gone); ok {
+		if kept, ok := o.orphaned(isGone); ok {
 			out = append(out, kept)
 		}
 	}
 	return out
 }
 
-func (o *open) orphan(gone func(job.Owner) bool) (Kept, bool) {
+func (o *openSubmission) orphaned(isGone func(job.Owner) bool) (Kept, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.stored || !gone(o.kept.Owner) {
+	if !o.stored || !isGone(o.kept.Owner) {
 		return Kept{}, false
 	}
 	kept := o.kept
@@ -313,8 +316,8 @@
 	return kept, true
 }
 
-// Adopt makes owner the one who drives a submission on, so that it is driven
-// on once.
+// Adopt sets the owner that resumes a submission, so that it is resumed only
+// once.
 func (k *Keeper) Adopt(id job.ID, owner job.Owner) {
 	k.mu.Lock()
 	o := k.open[id]
--- a/internal/keep/remote.go
+++ b/internal/keep/remote.go
@@ -10,7 +10,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 )
 
-// Journal is how whoever drives a kept submission reaches its keeper.
+// Journal is the interface through which the owner of a kept submission uses its
+// keeper.
 type Journal interface {
 	Grant(ctx context.Context, id job.ID, tasks []int) error
 	Finish(ctx context.Context, id job.ID, digest job.Digest, a job.Answer) error
@@ -21,7 +22,7 @@
 	_ Journal = (*Remote)(nil)
 )
 
-// operation is what a request to a keeper asks for.
+// operation is the kind of a request to a keeper.
 type operation uint8
 
 const (
@@ -30,7 +31,7 @@
 	opFinish
 )
 
-// request is the message peer.SubmissionKeep.
+// request is the body of the message peer.SubmissionKeep.
 type request struct {
 	Operation  operation       `cbor:"1,keyasint"`
 	ID         job.ID          `cbor:"2,keyasint"`
@@ -38,11 +39,11 @@
 	Tasks      []int           `cbor:"4,keyasint,omitempty"`
 	Digest     job.Digest      `cbor:"5,keyasint,omitempty"`
 	Answer     *job.Answer     `cbor:"6,keyasint,omitempty"`
-	// Synced asks for a disk.
+	// Synced requires that the keeper has a disk.
 	Synced bool `cbor:"7,keyasint,omitempty"`
 }
 
-// result is a keeper's word on a request.
+// result is the outcome of a request to a keeper.
 type result uint8
 
 const (
@@ -57,19 +58,19 @@
 	Detail string `cbor:"2,keyasint,omitempty"`
 }
 
-// Serve lets other entries keep submissions here.
+// Serve handles requests of other entries to keep submissions at k.
 func Serve(mesh peer.Mesh, k *Keeper) {
 	mesh.Handle(peer.SubmissionKeep, func(ctx context.Context, from job.Owner, body cbor.RawMessage) (any, error) {
 		var r request
 		if err := cbor.Unmarshal(body, &r); err != nil {
-			return nil, errors.Annotate(err, "decoding a request to keep")
+			return nil, errors.Annotate(err, "decoding a keeper request")
 		}
-		return k.answer(ctx, from, &r), nil
+		return k.respond(ctx, from, &r), nil
 	})
 }
 
-func (k *Keeper) answer(ctx context.Context, from job.Owner, r *request) response {
-	err := k.do(ctx, from, r)
+func (k *Keeper) respond(ctx context.Context, from job.Owner, r *request) response {
+	err := k.handle(ctx, from, r)
 	switch {
 	case err == nil:
 		return response{Result: resultDone}
@@ -81,22 +82,22 @@
 	return response{resultUncertain, err.Error()}
 }
 
-func (k *Keeper) do(ctx context.Context, from job.Owner, r *request) error {
+func (k *Keeper) handle(ctx context.Context, from job.Owner, r *request) error {
 	switch r.Operation {
 	case opAccept:
 		if r.Submission == nil || r.Synced && !k.HasDisk() {
-			return errors.Annotate(ErrNotKept, "this entry can't keep it as asked")
+			return errors.Annotate(ErrNotKept, "this entry cannot keep the submission as requested")
 		}
 		return k.Accept(ctx, from, r.Submission)
 	case opGrant:
 		return k.Grant(ctx, r.ID, r.Tasks)
 	case opFinish:
 		if r.Answer == nil {
-			return errors.Annotate(ErrUncertain, "an end without an answer")
+			return errors.Annotate(ErrUncertain, "finish request without an answer")
 		}
 		return k.Finish(ctx, r.ID, r.Digest, *r.Answer)
 	}
-	return errors.Annotatef(ErrUncertain, "operation %d", r.Operation)
+	return errors.Annotatef(ErrUncertain, "unknown operation %d", r.Operation)
 }
 
 // Remote is a keeper at another entry.
@@ -106,39 +107,39 @@
 	Synced bool
 }
 
-// Accept keeps a submission at the other entry, which takes the asking entry
-// for its owner.
+// Accept stores a submission at the other entry, which records the requesting
+// entry as the owner.
 func (r *Remote) Accept(ctx context.Context, _ job.Owner, s *job.Submission) error {
-	return r.ask(ctx, request{Operation: opAccept, ID: s.ID, Submission: s, Synced: r.Synced})
+	return r.call(ctx, request{Operation: opAccept, ID: s.ID, Submission: s, Synced: r.Synced})
 }
 
 // Grant implements Journal.
 func (r *Remote) Grant(ctx context.Context, id job.ID, tasks []int) error {
-	return r.ask(ctx, request{Operation: opGrant, ID: id, Tasks: tasks})
+	return r.call(ctx, request{Operation: opGrant, ID: id, Tasks: tasks})
 }
 
 // Finish implements Journal.
 func (r *Remote) Finish(ctx context.Context, id job.ID, digest job.Digest, a job.Answer) error {
-	return r.ask(ctx, request{Operation: opFinish, ID: id, Digest: digest, Answer: &a})
+	return r.call(ctx, request{Operation: opFinish, ID: id, Digest: digest, Answer: &a})
 }
 
-func (r *Remote) ask(ctx context.Context, req request) error {
-	var answer response
-	err := r.Mesh.Call(ctx, r.Entry, peer.SubmissionKeep, req, &answer)
+func (r *Remote) call(ctx context.Context, req request) error {
+	var resp response
+	err := r.Mesh.Call(ctx, r.Entry, peer.SubmissionKeep, req, &resp)
 	switch {
 	case errors.Is(err, peer.ErrNotSent):
 		return errors.Annotate(ErrNotKept, err.Error())
 	case err != nil:
 		return errors.Annotate(ErrUncertain, err.Error())
 	}
-	switch answer.Result {
+	switch resp.Result {
 	case resultDone:
 		return nil
 	case resultNotKept:
-		return errors.Annotate(ErrNotKept, answer.Detail)
+		return errors.Annotate(ErrNotKept, resp.Detail)
 	case resultGranted:
-		return errors.Annotate(ErrGranted, answer.Detail)
+		return errors.Annotate(ErrGranted, resp.Detail)
 	case resultUncertain:
 	}
-	return errors.Annotate(ErrUncertain, answer.Detail)
+	return errors.Annotate(ErrUncertain, resp.Detail)
 }
