--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,9 +1,9 @@
-// Package job holds the typed messages that the stages of a submission's path
-// hand to each other: the submission and its tasks, the batches that an owner
-// hands to the holders of targets, and the outcomes that come back.
+// Package job defines the types that the stages of processing a submission
+// exchange: the submission and its tasks, the batches that an owner sends to the
+// holders of targets, and the outcomes that the holders report.
 //
-// The package has no behaviour beyond checking and constructing these values,
-// so every other package can share it without importing a stage.
+// The package only checks and constructs these values, so every other package can
+// use it without importing a stage.
 package job
 
 import (
@@ -17,39 +17,40 @@
 	"github.com/juju/errors"
 )
 
-// ID names a submission. A caller chooses it, or the entry makes one.
+// ID identifies a submission. The caller chooses it, or the entry generates one.
 type ID string
 
-// EntryID names an entry process by its configured name.
+// EntryID is the configured name of an entry.
 type EntryID string
 
-// Zone names an availability zone.
+// Zone is the name of an availability zone.
 type Zone string
 
-// TargetID names a target as it announces itself.
+// TargetID is the name under which a target announces itself.
 type TargetID string
 
-// Incarnation numbers the lives of one entry: each start takes a higher one.
-// Unit: Unix nanoseconds at the start, so that it grows without stored state.
+// Incarnation identifies one start of an entry; each start has a higher value than
+// the one before. It is the start time in Unix nanoseconds, so that it increases
+// without stored state.
 type Incarnation uint64
 
-// Owner is one life of one entry: the only process that decides whether a task
-// of a submission starts.
+// Owner identifies the process that owns a submission, as one incarnation of one
+// entry. Only the owner decides whether a task of the submission starts.
 type Owner struct {
 	Entry       EntryID     `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
 	Zone        Zone        `cbor:"3,keyasint"`
 }
 
-// IsZero reports whether no owner is named.
+// IsZero reports whether o identifies no owner.
 func (o Owner) IsZero() bool { return o == Owner{} }
 
-// AttemptUnsaid is the attempt number of a submission whose caller did not say
+// AttemptUnsaid is the attempt number of a submission whose caller did not state
 // whether it has sent the same id before.
 const AttemptUnsaid = 0
 
-// TaskSpec is one task as the caller described it. The declared run time and
-// sizes are hints: they are often far off.
+// TaskSpec is one task as described by the caller. The declared run time and sizes
+// are hints and often far off.
 type TaskSpec struct {
 	Kind         string          `json:"kind,omitempty" cbor:"1,keyasint,omitempty"`
 	Payload      json.RawMessage `json:"payload,omitempty" cbor:"2,keyasint,omitempty"`
@@ -57,11 +58,12 @@
 	Processors   int             `json:"processors,omitempty" cbor:"4,keyasint,omitempty"`
 	MemoryMB     int             `json:"memory_mb,omitempty" cbor:"5,keyasint,omitempty"`
 	Accelerators int             `json:"accelerators,omitempty" cbor:"6,keyasint,omitempty"`
-	// MilliProcessors is a part of a processor in thousandths, beside Processors.
+	// MilliProcessors is a fraction of a processor, in thousandths, in addition to
+	// Processors.
 	MilliProcessors int `json:"milli_processors,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
-// Equal reports whether two specifications say the same.
+// Equal reports whether two specifications are equal.
 func (t *TaskSpec) Equal(other *TaskSpec) bool {
 	if !bytes.Equal(t.Payload, other.Payload) {
 		return false
@@ -71,7 +73,7 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// Urgency is the class of a service. Higher values are served first.
+// Urgency is the urgency class of a service. Higher values are served first.
 type Urgency int
 
 // The urgency classes, least urgent first.
@@ -81,7 +83,7 @@
 	UrgencyUrgent
 )
 
-// String returns the class as it stands in the declarative file.
+// String returns the class as written in the configuration file.
 func (u Urgency) String() string {
 	switch u {
 	case UrgencyBatch:
@@ -94,7 +96,7 @@
 	return "unknown"
 }
 
-// ParseUrgency reads a class as it stands in the declarative file.
+// ParseUrgency parses a class as written in the configuration file.
 func ParseUrgency(s string) (Urgency, error) {
 	for u := UrgencyBatch; u <= UrgencyUrgent; u++ {
 		if u.String() == s {
@@ -104,20 +106,20 @@
 	return UrgencyBatch, errors.NotValidf("urgency %q (urgent, interactive or batch)", s)
 }
 
-// Keep says where a submission is kept before it is accepted.
+// Keep is a keep mode: where a submission is stored before it is accepted.
 type Keep int
 
-// The ways of keeping a submission.
+// The keep modes.
 const (
-	// KeepMemory keeps the record of the submission in the registrars' memory.
+	// KeepMemory stores a record of the submission in the registrars' memory.
 	KeepMemory Keep = iota
-	// KeepReplicated keeps the whole submission in the memory of a second entry.
+	// KeepReplicated stores the whole submission in the memory of a second entry.
 	KeepReplicated
-	// KeepSynced keeps the whole submission synced on a disk.
+	// KeepSynced stores the whole submission on a disk with a synced write.
 	KeepSynced
 )
 
-// String returns the way as it stands in the declarative file.
+// String returns the keep mode as written in the configuration file.
 func (k Keep) String() string {
 	switch k {
 	case KeepMemory:
@@ -130,7 +132,7 @@
 	return "unknown"
 }
 
-// ParseKeep reads a way of keeping as it stands in the declarative file.
+// ParseKeep parses a keep mode as written in the configuration file.
 func ParseKeep(s string) (Keep, error) {
 	for k := KeepMemory; k <= KeepSynced; k++ {
 		if k.String() == s {
@@ -140,29 +142,29 @@
 	return KeepMemory, errors.NotValidf("keep %q (memory, replicated or synced)", s)
 }
 
-// Submission is one job of a caller, checked and stamped by the intake stage.
+// Submission is one job of a caller, checked and timestamped on arrival.
 type Submission struct {
 	ID ID
-	// CallerID is true where the caller chose the id and may send it again.
+	// CallerID is set if the caller chose the id and may send it again.
 	CallerID bool
 	Team     string
 	Service  string
-	// Attempt is the caller's count of its own sendings; AttemptUnsaid when the
-	// caller did not say.
+	// Attempt is the number of the caller's attempt with this id, or
+	// AttemptUnsaid if the caller did not state it.
 	Attempt  int
 	Tasks    []TaskSpec
 	Received time.Time
-	// Deadline is when the answer is of no further use; zero means none.
+	// Deadline is the time after which the answer is useless; zero means none.
 	Deadline time.Time
 	// Single marks an opaque request of the /v1/services path: one task whose
-	// answer is handed back byte for byte.
+	// result is returned byte for byte.
 	Single bool
-	// Transient marks a submission that nobody asks for again once its callers
-	// have hung up, and that may run again from the start when it is sent again:
-	// its work is stopped with its last caller, and no registrar remembers it.
+	// Transient marks a submission whose answer nobody asks for once its callers
+	// have hung up, and which may run again from the start if it is sent again.
+	// Its work stops when its last caller hangs up, and no registrar records it.
 	Transient bool
-	// Digest is over service, team and tasks; the same id with another digest
-	// is another submission and is refused.
+	// Digest covers the service, the team and the tasks. An id that is used again
+	// with a different digest belongs to a different submission and is refused.
 	Digest Digest
 }
 
@@ -200,25 +202,25 @@
 	return n
 }
 
-// lateFactor times the objective by the declared run time is when an answer is taken
-// for late. Declared times are often too short, and the real ones are not known of a
-// task that stood still.
+// lateFactor times the latency objective, computed from the declared run time, is the
+// time after which an answer counts as late. Declared run times are often too short, and
+// the real ones are unknown for a task that was paused.
 const lateFactor = 1.25
 
-// LateAfter is from when on the answer to a job of a service with this latency
-// objective is taken for late: the objective is stretch times what the longest task
-// takes, and slack more. Zero is never.
-func LateAfter(stretch float64, slack, longest time.Duration) time.Duration {
+// LateAfter returns the response time after which an answer counts as late, for a job
+// of a service with this latency objective. The objective is stretch times the run time
+// of the longest task, plus slack. Zero means that no answer counts as late.
+func LateAfter(stretch float64, slack, longestTask time.Duration) time.Duration {
 	if stretch <= 0 {
 		return 0
 	}
-	objective := stretch*float64(longest) + float64(slack)
+	objective := stretch*float64(longestTask) + float64(slack)
 	return time.Duration(lateFactor * objective)
 }
 
-// UsefulFor is how many times its latency objective an answer may take and still be of use
-// to callers, as they say.
+// UsefulFor is the multiple of the latency objective up to which an answer is still useful
+// to callers, according to them.
 const UsefulFor = 3
 
-// Declared is how long the task is declared to take.
+// Declared returns the declared run time of the task.
 func (t *TaskSpec) Declared() time.Duration { return time.Duration(t.RunMillis) * time.Millisecond }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A caller that reuses an id by mistake would be given another job's answer if
-// the digest did not cover each part of the content.
+// If the digest did not cover every part of the content, a caller that reuses an id
+// by mistake would receive the answer to another job.
 func TestContentDigestCoversContent(t *testing.T) {
 	base := func() *Submission {
 		return &Submission{Service: "s", Team: "t", Tasks: []TaskSpec{{Kind: "k", Payload: []byte(`1`)}, {Payload: []byte(`2`)}}}
--- a/internal/job/load.go
+++ b/internal/job/load.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// HolderLoad is what one holder says of the targets that it holds for one
-// pool. Owners split a job over holders by it. A wrong or old value may cost
-// waiting, never a second start.
+// HolderLoad is a holder's load report for the targets that it holds for one pool.
+// Owners use it to split a job over holders. A wrong or outdated value may delay
+// tasks but never causes a second start.
 type HolderLoad struct {
 	Entry EntryID `cbor:"1,keyasint"`
 	Zone  Zone    `cbor:"2,keyasint"`
@@ -13,20 +13,21 @@
 	Targets int    `cbor:"4,keyasint"`
 	Slots   int    `cbor:"5,keyasint"`
 	Free    int    `cbor:"6,keyasint"`
-	// Queued counts waiting tasks, by urgency class (index is Urgency).
+	// Queued is the number of waiting tasks per urgency class (index: Urgency).
 	Queued [UrgencyUrgent + 1]int `cbor:"7,keyasint"`
-	// Wait is the expected wait of a task that arrives now, by urgency class.
+	// Wait is the expected wait of a task that arrives now, per urgency class.
 	Wait [UrgencyUrgent + 1]time.Duration `cbor:"8,keyasint"`
 	// Largest is the largest task that any of the targets could ever hold.
 	Largest Size `cbor:"9,keyasint"`
 }
 
-// Size is what one task takes of a target.
+// Size is the resource demand of a task or the capacity of a target.
 type Size struct {
 	Processors   int `cbor:"1,keyasint,omitempty"`
 	MemoryMB     int `cbor:"2,keyasint,omitempty"`
 	Accelerators int `cbor:"3,keyasint,omitempty"`
-	// MilliProcessors is a part of a processor in thousandths, beside Processors.
+	// MilliProcessors is a fraction of a processor, in thousandths, in addition to
+	// Processors.
 	MilliProcessors int `cbor:"4,keyasint,omitempty"`
 }
 
@@ -35,7 +36,7 @@
 	return Size{Processors: t.Processors, MemoryMB: t.MemoryMB, Accelerators: t.Accelerators, MilliProcessors: t.MilliProcessors}
 }
 
-// Plus returns the sizes added up.
+// Plus returns the sum of s and o.
 func (s Size) Plus(o Size) Size {
 	return Size{
 		Processors: s.Processors + o.Processors, MemoryMB: s.MemoryMB + o.MemoryMB,
@@ -43,7 +44,7 @@
 	}
 }
 
-// Minus returns what is left of s without o.
+// Minus returns the difference of s and o.
 func (s Size) Minus(o Size) Size {
 	return Size{
 		Processors: s.Processors - o.Processors, MemoryMB: s.MemoryMB - o.MemoryMB,
@@ -63,15 +64,15 @@
 	return out
 }
 
-// milli is a thousandth of a processor.
-const milli = 1000
+// milliPerProcessor is the number of thousandths in one processor.
+const milliPerProcessor = 1000
 
-// Millis returns the processors in thousandths.
-func (s Size) Millis() int { return s.Processors*milli + s.MilliProcessors }
+// Millis returns the total processors in thousandths.
+func (s Size) Millis() int { return s.Processors*milliPerProcessor + s.MilliProcessors }
 
-// Fits reports whether a task of size s fits into room.
-func (s Size) Fits(room Size) bool {
-	return s.Millis() <= room.Millis() && s.MemoryMB <= room.MemoryMB && s.Accelerators <= room.Accelerators
+// Fits reports whether a task of size s fits into the available capacity.
+func (s Size) Fits(available Size) bool {
+	return s.Millis() <= available.Millis() && s.MemoryMB <= available.MemoryMB && s.Accelerators <= available.Accelerators
 }
 
 // Target is one target as it announces itself.
@@ -81,20 +82,22 @@
 	Address string   `json:"address" cbor:"3,keyasint"`
 	Zone    Zone     `json:"availability_zone" cbor:"4,keyasint"`
 	Rack    string   `json:"rack" cbor:"5,keyasint,omitempty"`
-	// Slots is how many tasks run at once, Connections how many connections
-	// all entries together may hold; zero takes the configuration's default.
+	// Slots is the number of tasks that may run at once, and Connections the number
+	// of connections that all entries together may hold; zero means the default of
+	// the configuration.
 	Slots        int `json:"slots" cbor:"6,keyasint,omitempty"`
 	Connections  int `json:"connections" cbor:"7,keyasint,omitempty"`
 	Processors   int `json:"processors" cbor:"8,keyasint,omitempty"`
 	MemoryMB     int `json:"memory_mb" cbor:"9,keyasint,omitempty"`
 	Accelerators int `json:"accelerators" cbor:"10,keyasint,omitempty"`
-	// Running is the target's own count of running tasks; it lags.
+	// Running is the target's own count of running tasks; it may be outdated.
 	Running int `json:"running" cbor:"11,keyasint,omitempty"`
-	// MilliProcessors is a part of a processor in thousandths, beside Processors.
+	// MilliProcessors is a fraction of a processor, in thousandths, in addition to
+	// Processors.
 	MilliProcessors int `json:"milli_processors,omitempty" cbor:"12,keyasint,omitempty"`
 }
 
-// Room returns the whole size of the target.
+// Room returns the total capacity of the target.
 func (t *Target) Room() Size {
 	return Size{Processors: t.Processors, MemoryMB: t.MemoryMB, Accelerators: t.Accelerators, MilliProcessors: t.MilliProcessors}
 }
--- a/internal/job/outcome.go
+++ b/internal/job/outcome.go
@@ -8,8 +8,8 @@
 // Outcome is how a submission ended.
 type Outcome string
 
-// The outcomes. A job's answer is complete or it is one of the others; there is
-// no partial answer.
+// The outcomes. The answer to a job is never partial: it is complete or has one of
+// the other outcomes.
 const (
 	Complete  Outcome = "complete"
 	Refused   Outcome = "refused"
@@ -17,7 +17,7 @@
 	Cancelled Outcome = "cancelled"
 )
 
-// Reason says in one word why a submission or task did not complete.
+// Reason is the reason why a submission or task did not complete.
 type Reason string
 
 // The reasons. docs/OPERATIONS.md says what to do about each.
@@ -53,21 +53,21 @@
 	Internal        Reason = "internal_error"
 )
 
-// Run says whether any task of a submission may have run.
+// Run states whether any task of a submission may have run.
 type Run struct{ proven bool }
 
-// MayHaveRun is the zero value: nothing proves that no task started.
+// MayHaveRun is the zero value: it is not proved that no task started.
 var MayHaveRun = Run{}
 
 // NotRun returns the statement that no task of the submission started. Only a
-// stage that handed nothing to a target, or that holds the target's own word,
-// may construct it: a false one would make a caller send an alert twice.
+// stage that handed nothing to a target, or that has the target's own confirmation,
+// may use it: a false statement would make a caller send an alert twice.
 func NotRun() Run { return Run{proven: true} }
 
-// Proven reports whether it is proved that nothing ran.
+// Proven reports whether it is proved that no task ran.
 func (r Run) Proven() bool { return r.proven }
 
-// String returns the statement as the callers' answer words it.
+// String returns the statement as it appears in answers to callers.
 func (r Run) String() string {
 	if r.proven {
 		return "not run"
@@ -75,7 +75,7 @@
 	return "may have run"
 }
 
-// Header returns the statement as it stands in the Vanillagrade-Run header.
+// Header returns the statement as it appears in the Vanillagrade-Run header.
 func (r Run) Header() string {
 	if r.proven {
 		return "not-run"
@@ -83,14 +83,14 @@
 	return "may-have-run"
 }
 
-// The CBOR simple values of a Run: only the exact encoding of NotRun proves
-// anything, so a damaged or newer message reads as "may have run".
+// The CBOR simple values of a Run. Only the exact encoding of NotRun is decoded as
+// such, so a damaged or newer message decodes as "may have run".
 const (
 	cborFalse = 0xf4
 	cborTrue  = 0xf5
 )
 
-// MarshalCBOR encodes the statement for messages between entries.
+// MarshalCBOR implements cbor.Marshaler for messages between entries.
 func (r Run) MarshalCBOR() ([]byte, error) {
 	if r.proven {
 		return []byte{cborTrue}, nil
@@ -98,7 +98,7 @@
 	return []byte{cborFalse}, nil
 }
 
-// UnmarshalCBOR decodes the statement of another entry.
+// UnmarshalCBOR implements cbor.Unmarshaler for messages between entries.
 func (r *Run) UnmarshalCBOR(b []byte) error {
 	r.proven = len(b) == 1 && b[0] == cborTrue
 	return nil
@@ -108,23 +108,23 @@
 type Answer struct {
 	ID      ID
 	Outcome Outcome
-	// Late is set on a complete answer that came after the deadline of a
-	// service that flags late answers.
+	// Late is set on a complete answer after the deadline, for a service that
+	// flags late answers.
 	Late    bool
 	Run     Run
 	Reason  Reason
 	Detail  string
 	Results []json.RawMessage
-	// RetryAfter is when the caller may usefully come back; zero says nothing.
+	// RetryAfter is the delay after which a retry is useful; zero means unknown.
 	RetryAfter time.Duration
 }
 
-// Refuse returns the answer of a submission of which no task was handed out.
+// Refuse returns the answer to a submission of which no task was handed out.
 func Refuse(id ID, reason Reason, detail string, retryAfter time.Duration) Answer {
 	return Answer{ID: id, Outcome: Refused, Run: NotRun(), Reason: reason, Detail: detail, RetryAfter: retryAfter}
 }
 
-// Fail returns the answer of a submission of which a task may have run.
+// Fail returns the answer to a submission of which a task may have run.
 func Fail(id ID, reason Reason, detail string) Answer {
 	return Answer{ID: id, Outcome: Failed, Run: MayHaveRun, Reason: reason, Detail: detail}
 }
@@ -132,17 +132,17 @@
 // TaskStatus is how one task ended.
 type TaskStatus uint8
 
-// The ways in which a task ends.
+// The task statuses.
 const (
-	// TaskDone carries a result.
+	// TaskDone means that the task has a result.
 	TaskDone TaskStatus = iota + 1
-	// TaskErred may have run and has no result.
+	// TaskErred means that the task may have run and has no result.
 	TaskErred
-	// TaskNotStarted was proved never to have started.
+	// TaskNotStarted means that the task provably never started.
 	TaskNotStarted
 )
 
-// TaskOutcome is the end of one task as its holder reports it to the owner.
+// TaskOutcome is the outcome of one task, as reported by its holder to the owner.
 type TaskOutcome struct {
 	Index   int             `cbor:"1,keyasint"`
 	Status  TaskStatus      `cbor:"2,keyasint"`
@@ -150,57 +150,58 @@
 	Reason  Reason          `cbor:"4,keyasint,omitempty"`
 	Detail  string          `cbor:"5,keyasint,omitempty"`
 	Target  TargetID        `cbor:"6,keyasint,omitempty"`
-	// Queued and Ran are how long the task waited at the holder and how long
-	// its target took.
+	// Queued is the time that the task waited at the holder, and Ran the time
+	// that its target took.
 	Queued time.Duration `cbor:"7,keyasint,omitempty"`
 	Ran    time.Duration `cbor:"8,keyasint,omitempty"`
-	// RetryAfter is when a refused task may usefully be offered again.
+	// RetryAfter is the delay after which another offer of a refused task is useful.
 	RetryAfter time.Duration `cbor:"9,keyasint,omitempty"`
-	// Over is set with TaskErred where no run of the task is alive any more, so
-	// that one more never runs beside it.
+	// Over is set with TaskErred if every run of the task has ended, so that another
+	// run cannot overlap with an earlier one.
 	Over bool `cbor:"10,keyasint,omitempty"`
-	// Crashed are the targets that ended while the task ran on them.
+	// Crashed has the targets that ended while the task ran on them.
 	Crashed []TargetID `cbor:"11,keyasint,omitempty"`
 }
 
-// BatchTask is one task of a batch with its place in the submission. The specification has
-// a key of its own in messages: its fields have keys that Index would hide.
+// BatchTask is one task of a batch with its index in the submission. In messages the
+// specification is nested under a key of its own, since Index would hide the field of
+// TaskSpec with the same key.
 type BatchTask struct {
 	Index    int `cbor:"1,keyasint"`
 	TaskSpec `cbor:"2,keyasint,omitzero"`
-	// Crashed are the targets that ended while the task ran on them before.
+	// Crashed has the targets that ended while an earlier run of the task was on them.
 	Crashed []TargetID `cbor:"3,keyasint,omitempty"`
 }
 
-// Batch is the part of a submission that one holder runs: one message a holder
-// a job, whatever the number of tasks.
+// Batch is the part of a submission that one holder runs. It is sent in one
+// message, whatever the number of tasks.
 type Batch struct {
 	Owner      Owner  `cbor:"1,keyasint"`
 	Submission ID     `cbor:"2,keyasint"`
 	Team       string `cbor:"3,keyasint,omitempty"`
 	Service    string `cbor:"4,keyasint"`
-	// Waited is how long the submission has already waited at its owner, so
-	// that ageing goes on across the hand-over without comparing clocks.
+	// Waited is the time that the submission has already waited at its owner. With
+	// it, ageing continues at the holder without a comparison of clocks.
 	Waited time.Duration `cbor:"5,keyasint,omitempty"`
-	// Remaining is the time left until the deadline; zero means no deadline.
+	// Remaining is the time until the deadline; zero means no deadline.
 	Remaining time.Duration `cbor:"6,keyasint,omitempty"`
 	Tasks     []BatchTask   `cbor:"7,keyasint"`
 	Single    bool          `cbor:"8,keyasint,omitempty"`
-	// Committed says that other tasks of the submission were accepted at other
-	// holders already: to refuse these for load would throw that work away.
+	// Committed is set if other holders have already accepted other tasks of the
+	// submission: refusing these tasks for load would waste that work.
 	Committed bool `cbor:"9,keyasint,omitempty"`
-	// Pool names the targets, as the owner's configuration has it: the holder's
-	// may be some seconds behind.
+	// Pool is the pool of the service in the owner's configuration; the holder's
+	// configuration may be some seconds older.
 	Pool string `cbor:"10,keyasint,omitempty"`
-	// Attempts is how many runs of a task may fail; zero and one mean that the
+	// Attempts is the number of runs of a task that may fail; with zero or one, the
 	// first failure ends the job.
 	Attempts int `cbor:"11,keyasint,omitempty"`
-	// Transient is as in Submission: the work ends with its owner.
+	// Transient is as in Submission: the work does not outlive its owner.
 	Transient bool `cbor:"12,keyasint,omitempty"`
-	// Stretch and Slack make the latency objective, as in config.Service.
+	// Stretch and Slack define the latency objective, as in config.Service.
 	Stretch float64       `cbor:"13,keyasint,omitempty"`
 	Slack   time.Duration `cbor:"14,keyasint,omitempty"`
-	// Right is the right to act for the owner, at the entry that has the batch. Nil
-	// stands for work that needs none.
+	// Right is the right of the entry that has the batch to act for the owner; nil
+	// for work that needs none.
 	Right Right `cbor:"-"`
 }
--- a/internal/job/right.go
+++ b/internal/job/right.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Right is an entry's right to act for the owner of transient work. It ends when the
-// owner, or the entry itself, stood still or was out of reach for so long that the work
-// may have been given up and begun elsewhere; it never comes back.
+// Right is an entry's right to act for the owner of transient work. It ends once the
+// owner or the entry itself was paused or unreachable for so long that the work may have
+// been abandoned and started elsewhere. Once ended, it is never regained.
 type Right interface {
-	// Holds reports whether the right stands at this moment. Whoever starts something
-	// asks right before.
+	// Holds reports whether the right is valid at this moment. Check it immediately
+	// before starting any work.
 	Holds() bool
-	// Left returns for how long what runs under the right may run on, unless it is
-	// confirmed again.
+	// Left returns how long work under the right may continue if the right is not
+	// renewed.
 	Left() time.Duration
-	// Lost is closed once it has been noticed that the right has ended.
+	// Lost returns a channel that is closed once the end of the right is detected.
 	Lost() <-chan struct{}
 }
 
-// Holds reports whether a right stands; work without one needs none.
+// Holds reports whether r is valid. Nil, for work that needs no right, is always valid.
 func Holds(r Right) bool { return r == nil || r.Holds() }
