--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -17,23 +17,23 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// buffer is a reader of lines that may stop reading.
-type buffer struct {
-	mu    sync.Mutex
-	text  bytes.Buffer
-	stuck chan struct{}
+// blockingBuffer collects log lines. Its writes block until unblock is closed, if set.
+type blockingBuffer struct {
+	mu      sync.Mutex
+	text    bytes.Buffer
+	unblock chan struct{}
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
-	if b.stuck != nil {
-		<-b.stuck
+func (b *blockingBuffer) Write(p []byte) (int, error) {
+	if b.unblock != nil {
+		<-b.unblock
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
-func (b *buffer) lines() []map[string]any {
+func (b *blockingBuffer) lines() []map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []map[string]any
@@ -46,10 +46,10 @@
 	return out
 }
 
-// The reader of the log stops reading. The process must go on at once, and say
-// later how many lines it lost.
-func TestStuckReaderBlocksNobody(t *testing.T) {
-	out := &buffer{stuck: make(chan struct{})}
+// The reader of the log stops reading. Writes must not block, and the dropped lines
+// must be counted.
+func TestBlockedReaderDoesNotBlockWrites(t *testing.T) {
+	out := &blockingBuffer{unblock: make(chan struct{})}
 	w := NewWriter(out)
 	line := bytes.Repeat([]byte("x"), 1023)
 	line = append(line, '\n')
@@ -63,18 +63,18 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a line waits for its reader")
+		t.Fatal("a write blocks on the reader of the log")
 	}
 	qt.Assert(t, w.Dropped() > 0, qt.IsTrue)
-	close(out.stuck)
+	close(out.unblock)
 	w.Close()
 }
 
-// A thousand jobs a second are served while some are refused. Each refusal is told,
-// of the rest a sample, and what was left out is counted.
-func TestBudgetKeepsFailures(t *testing.T) {
+// A thousand jobs per second are served while some are refused. All refusals and a
+// sample of the other events must be logged, and the left-out lines counted.
+func TestBudgetKeepsAllFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &buffer{}
+		out := &blockingBuffer{}
 		w := NewWriter(out)
 		s := New(timeline.Discard{}, slog.New(slog.NewJSONHandler(w, nil)))
 		for i := range 1000 {
@@ -109,9 +109,10 @@
 	})
 }
 
-// sinkAndLines returns a sink and what reads its lines when all is over.
+// sinkAndLines returns a sink and a function that closes its writer and returns the
+// lines.
 func sinkAndLines() (*Sink, func() []map[string]any) {
-	out := &buffer{}
+	out := &blockingBuffer{}
 	w := NewWriter(out)
 	s := New(timeline.Discard{}, slog.New(slog.NewJSONHandler(w, nil)))
 	return s, func() []map[string]any {
@@ -121,22 +122,22 @@
 	}
 }
 
-// A thousand requests are refused in one second for one cause. Whoever is called
-// because of one of them has its id alone, and must find it: one that stands nowhere
-// can't be told from one that never arrived.
-func TestEveryFailureIsToldByItsID(t *testing.T) {
+// Hundreds of requests fail in one second for one reason. An operator who knows only
+// the id of one of them must find it in the log, since a request that is not there looks
+// like one that never arrived.
+func TestEveryFailedRequestIDIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, lines := sinkAndLines()
 		const refused = 700
 		for i := range refused {
 			s.Record(timeline.Event{Kind: timeline.SubmissionAnswered, Submission: job.ID(fmt.Sprint("j", i)), Reason: job.Overloaded})
 		}
-		told := map[string]bool{}
-		own := 0
+		logged := map[string]bool{}
+		ownLines := 0
 		for _, m := range lines() {
 			if id, ok := m["request"].(string); ok {
-				told[id] = true
-				own++
+				logged[id] = true
+				ownLines++
 			}
 			ids, _ := m["requests"].([]any)
 			if len(ids) > 0 {
@@ -145,17 +146,17 @@
 				qt.Assert(t, m["level"], qt.Equals, "WARN")
 			}
 			for _, id := range ids {
-				told[id.(string)] = true
+				logged[id.(string)] = true
 			}
 		}
-		qt.Assert(t, own, qt.Equals, failureLines)
-		qt.Assert(t, told, qt.HasLen, refused)
+		qt.Assert(t, ownLines, qt.Equals, failureLines)
+		qt.Assert(t, logged, qt.HasLen, refused)
 	})
 }
 
-// A busy entry has no lines left for the first steps of a request, which later fails.
-// On call, one needs the holder and the target that it was given to, and when.
-func TestFailureBringsItsEarlierSteps(t *testing.T) {
+// A busy entry has no budget left for the first steps of a request that fails later.
+// The log must still show the holder and the target of the request, with the times.
+func TestFailureLogsEarlierSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, lines := sinkAndLines()
 		for i := range 200 {
@@ -167,25 +168,25 @@
 		time.Sleep(700 * time.Millisecond)
 		s.Record(timeline.Event{Kind: timeline.SubmissionAnswered, Submission: "j150", Reason: job.HolderLost})
 		s.Record(timeline.Event{Kind: timeline.BatchLost, Submission: "j150", Reason: job.HolderLost})
-		var story []string
+		var messages []string
 		for _, m := range lines() {
 			if m["request"] != "j150" {
 				continue
 			}
-			story = append(story, m["msg"].(string))
+			messages = append(messages, m["msg"].(string))
 			at, err := time.Parse(time.RFC3339Nano, m["time"].(string))
 			qt.Assert(t, err, qt.IsNil)
 			if m["earlier"] == true {
 				qt.Assert(t, at.Equal(offered), qt.IsTrue, qt.Commentf("%s at %s", m["msg"], at))
 			}
 		}
-		qt.Assert(t, story, qt.DeepEquals, []string{"batch_offered", "task_started", "submission_answered", "batch_lost"})
+		qt.Assert(t, messages, qt.DeepEquals, []string{"batch_offered", "task_started", "submission_answered", "batch_lost"})
 	})
 }
 
-// A target answers a failure with a megabyte of its own words. The line stays short:
-// the budget counts lines and has to bound their bytes.
-func TestLongCauseIsCut(t *testing.T) {
+// A target reports a failure with a megabyte of text. The line must stay short, since
+// the budget counts lines and must bound their bytes too.
+func TestLongCauseIsTruncated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, lines := sinkAndLines()
 		s.Record(timeline.Event{Kind: timeline.TaskEnded, Submission: "j", Reason: job.TaskFailed, Cause: strings.Repeat("é", 1<<19)})
@@ -195,9 +196,9 @@
 	})
 }
 
-// All kinds of events come at once and without end. What is written in a second stays
+// Events of all kinds come at once in great numbers. The output of a second must stay
 // within the budget, in lines and in bytes.
-func TestSecondStaysWithinTheBudget(t *testing.T) {
+func TestOutputPerSecondStaysWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, lines := sinkAndLines()
 		const kinds, events = 20, 400
@@ -217,29 +218,29 @@
 			qt.Assert(t, err, qt.IsNil)
 			bytes += len(raw)
 		}
-		most := kinds*failureLines + earlierLines + kinds*2 + 2*maxListed/listedInLine + 1
-		qt.Assert(t, len(written) <= most, qt.IsTrue, qt.Commentf("%d lines", len(written)))
-		qt.Assert(t, bytes <= most*(maxCause+300)+maxListed*20, qt.IsTrue, qt.Commentf("%d bytes", bytes))
-		qt.Assert(t, s.LeftOut() >= kinds*events-uint64(most), qt.IsTrue)
+		maxLines := kinds*failureLines + earlierLines + kinds*2 + 2*maxListedIDs/idsPerLine + 1
+		qt.Assert(t, len(written) <= maxLines, qt.IsTrue, qt.Commentf("%d lines", len(written)))
+		qt.Assert(t, bytes <= maxLines*(maxCause+300)+maxListedIDs*20, qt.IsTrue, qt.Commentf("%d bytes", bytes))
+		qt.Assert(t, s.LeftOut() >= kinds*events-uint64(maxLines), qt.IsTrue)
 	})
 }
 
-// A busy entry is killed in the middle of its work, and its requests leave no line
-// anywhere else. All that arrived a moment before must be found at it by their ids; a
-// request that stands nowhere would be taken for one that never arrived.
-func TestReceivedRequestsAreToldBeforeAKill(t *testing.T) {
+// A busy entry is killed while its requests have no line at any other entry. The ids of
+// all requests received shortly before must be in its log already, since a request that
+// is not there looks like one that never arrived.
+func TestReceivedRequestIDsAreLoggedPromptly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &buffer{}
+		out := &blockingBuffer{}
 		w := NewWriter(out)
 		s := New(timeline.Discard{}, slog.New(slog.NewJSONHandler(w, nil)))
 		const requests = 300
 		for i := range requests {
 			s.Record(timeline.Event{Kind: timeline.SubmissionReceived, Submission: job.ID(fmt.Sprint("j", i))})
 		}
-		time.Sleep(receivedEvery + 2*flushEvery)
+		time.Sleep(receivedInterval + 2*flushInterval)
 		synctest.Wait()
 		found := map[string]bool{}
-		listing := 0
+		listLines := 0
 		for _, m := range out.lines() {
 			if id, ok := m["request"].(string); ok {
 				found[id] = true
@@ -249,22 +250,22 @@
 				found[id.(string)] = true
 			}
 			if len(ids) > 0 {
-				listing++
+				listLines++
 			}
 		}
 		qt.Assert(t, found, qt.HasLen, requests)
-		qt.Assert(t, listing <= requests/listedInLine+1, qt.IsTrue)
+		qt.Assert(t, listLines <= requests/idsPerLine+1, qt.IsTrue)
 		s.Flush()
 		w.Close()
 	})
 }
 
-// A fleet of hundreds starts, and each process learns of all others at once. The lines
-// that tell of it stay within a budget of their own, what is left out is counted and
-// said, and a request that fails in that moment has its line.
-func TestLinesThatAreNoEventsAreLimited(t *testing.T) {
+// A fleet of hundreds starts, and each process discovers all others at once. The lines
+// about them must stay within their own budget, the left-out ones must be counted and
+// logged, and a request that fails at that moment must have its line.
+func TestNonEventLinesAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &buffer{}
+		out := &blockingBuffer{}
 		w := NewWriter(out)
 		log := slog.New(Limit(slog.NewJSONHandler(w, nil))).With("entry", "e")
 		s := New(timeline.Discard{}, log)
@@ -273,7 +274,7 @@
 			log.With("zone", "z").Warn("peer link not up", "peer", i)
 		}
 		s.Record(timeline.Event{Kind: timeline.SubmissionAnswered, Submission: "j", Reason: job.HolderLost})
-		qt.Assert(t, s.LeftOut(), qt.Equals, uint64(600-beliefLines-failureLines))
+		qt.Assert(t, s.LeftOut(), qt.Equals, uint64(600-fleetLines-failureLines))
 		time.Sleep(window)
 		synctest.Wait()
 		log.Info("entry found", "peer", "later")
@@ -284,7 +285,7 @@
 			count[m["msg"].(string)]++
 		}
 		qt.Assert(t, count, qt.DeepEquals, map[string]int{
-			"entry found": beliefLines + 1, "peer link not up": failureLines, "submission_answered": 1, "log lines left out": 1,
+			"entry found": fleetLines + 1, "peer link not up": failureLines, "submission_answered": 1, "log lines left out": 1,
 		})
 	})
 }
--- a/internal/eventlog/limit.go
+++ b/internal/eventlog/limit.go
@@ -7,88 +7,90 @@
 	"time"
 )
 
-// Limit returns a handler that writes at most beliefLines lines of each message in a
-// second, failureLines of warnings and errors, and says what it left out.
+// Limit returns a handler that writes at most fleetLines lines of each message per
+// second, or failureLines for warnings and errors, and logs how many it left out.
 //
-// Parts of a process log by themselves what concerns no request: members that come and
-// go, links, targets that fall silent. Each is rare, and all of them come together when
-// a zone is cut off or a fleet of hundreds starts; their lines must not crowd out those
-// of requests then.
+// Some parts of a process log directly what concerns no request: members that join and
+// leave, links, unresponsive targets. Each of these is rare, but they come all at once
+// when a zone is partitioned or a fleet of hundreds starts. Then they must not crowd
+// out the lines about requests.
 func Limit(next slog.Handler) slog.Handler {
-	return &limited{next: next, shared: &limit{written: map[string]int{}, left: map[string]int{}}}
+	return &limitedHandler{next: next, budget: &messageBudget{written: map[string]int{}, leftOutByMessage: map[string]int{}}}
 }
 
-// limited is one handler with its attributes; all that descend from one share a budget.
-type limited struct {
+// limitedHandler is a handler with its attributes. It shares its budget with all
+// handlers derived from it.
+type limitedHandler struct {
 	next   slog.Handler
-	shared *limit
+	budget *messageBudget
 }
 
-type limit struct {
-	mu      sync.Mutex
-	began   time.Time
-	written map[string]int
-	left    map[string]int
-	total   uint64
+// messageBudget counts the lines that were written and left out, by message.
+type messageBudget struct {
+	mu               sync.Mutex
+	began            time.Time
+	written          map[string]int
+	leftOutByMessage map[string]int
+	total            uint64
 }
 
 // Enabled implements slog.Handler.
-func (l *limited) Enabled(ctx context.Context, level slog.Level) bool {
+func (l *limitedHandler) Enabled(ctx context.Context, level slog.Level) bool {
 	return l.next.Enabled(ctx, level)
 }
 
 // WithAttrs implements slog.Handler.
-func (l *limited) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &limited{next: l.next.WithAttrs(attrs), shared: l.shared}
+func (l *limitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &limitedHandler{next: l.next.WithAttrs(attrs), budget: l.budget}
 }
 
 // WithGroup implements slog.Handler.
-func (l *limited) WithGroup(name string) slog.Handler {
-	return &limited{next: l.next.WithGroup(name), shared: l.shared}
+func (l *limitedHandler) WithGroup(name string) slog.Handler {
+	return &limitedHandler{next: l.next.WithGroup(name), budget: l.budget}
 }
 
 // Handle implements slog.Handler.
-func (l *limited) Handle(ctx context.Context, line slog.Record) error {
-	if !l.shared.allow(line.Message, line.Level, l.next) {
+func (l *limitedHandler) Handle(ctx context.Context, line slog.Record) error {
+	if !l.budget.allow(line.Message, line.Level, l.next) {
 		return nil
 	}
 	return l.next.Handle(ctx, line)
 }
 
-// allow reports whether a line is within its message's budget. What is left out is told
-// through the handler that met it first.
-func (l *limit) allow(message string, level slog.Level, next slog.Handler) bool {
+// allow reports whether a line is within the budget of its message. The summary of the
+// left-out lines is written through the handler of the first of them.
+func (l *messageBudget) allow(message string, level slog.Level, next slog.Handler) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now := time.Now(); now.Sub(l.began) >= window {
 		l.began = now
 		clear(l.written)
 	}
-	most := beliefLines
+	limit := fleetLines
 	if level >= slog.LevelWarn {
-		most = failureLines
+		limit = failureLines
 	}
-	if l.written[message] < most {
+	if l.written[message] < limit {
 		l.written[message]++
 		return true
 	}
-	if len(l.left) == 0 {
-		time.AfterFunc(window, func() { l.tell(next) })
+	if len(l.leftOutByMessage) == 0 {
+		time.AfterFunc(window, func() { l.logLeftOut(next) })
 	}
-	l.left[message]++
+	l.leftOutByMessage[message]++
 	l.total++
 	return false
 }
 
-func (l *limit) tell(next slog.Handler) {
+func (l *messageBudget) logLeftOut(next slog.Handler) {
 	l.mu.Lock()
-	left := l.left
-	l.left = map[string]int{}
+	leftOutByMessage := l.leftOutByMessage
+	l.leftOutByMessage = map[string]int{}
 	l.mu.Unlock()
-	slog.New(next).Info("log lines left out", "by_message", left)
+	slog.New(next).Info("log lines left out", "by_message", leftOutByMessage)
 }
 
-func (l *limit) leftOut() uint64 {
+func (l *messageBudget) leftOut() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.total
--- a/internal/eventlog/received.go
+++ b/internal/eventlog/received.go
@@ -7,25 +7,25 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// receivedEvery is how often the ids of received requests without a line are told: it
-// bounds what a process takes with it when it is killed, and joins some dozen ids of a
-// busy entry into one line.
-const receivedEvery = 100 * time.Millisecond
+// receivedInterval is how often the ids of received requests without a line are logged.
+// It bounds what is lost when the process is killed, and lets a busy entry put some
+// dozen ids into one line.
+const receivedInterval = 100 * time.Millisecond
 
-// received are the ids of requests whose receipt has no line.
+// received collects the ids of requests whose receipt has no line.
 //
-// An entry that is killed takes its unanswered requests with it, and those of which it
-// held the targets too leave no line anywhere else. Whoever has the id of one then can't
-// tell a killed entry from a request that never arrived. At 20 bytes each all ids can
-// be written where their lines can't.
+// When an entry is killed, its unanswered requests are lost. Those whose targets it held
+// itself leave no line at any other entry, so the log would not distinguish a killed
+// entry from a request that never arrived. At 20 bytes each, all ids can be logged where
+// full lines can't.
 type received struct {
 	ids    []job.ID
 	listed int
 }
 
-// add keeps an id to be told. It reports whether it is the first one.
+// add stores an id to be logged. It reports whether the id is the first one pending.
 func (r *received) add(id job.ID) (first bool) {
-	if r.listed >= maxListed {
+	if r.listed >= maxListedIDs {
 		return false
 	}
 	r.listed++
@@ -33,13 +33,13 @@
 	return len(r.ids) == 1
 }
 
-// tellReceived writes the ids that wait.
-func (s *Sink) tellReceived() {
+// logReceived logs the pending ids.
+func (s *Sink) logReceived() {
 	s.mu.Lock()
 	ids := s.received.ids
 	s.received.ids = nil
 	s.mu.Unlock()
-	for part := range slices.Chunk(ids, listedInLine) {
+	for part := range slices.Chunk(ids, idsPerLine) {
 		s.log.Info("requests without lines of their own", "requests", part)
 	}
 }
--- a/internal/eventlog/recent.go
+++ b/internal/eventlog/recent.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// recentEvents bounds the successful steps that are kept for some time without a
-	// line: a busy entry leaves out 150 a second, so they reach back some seconds, as
-	// long as a request takes. They take 200 KB, and looking through them some 5 µs.
+	// recentEvents bounds the successful steps that are kept after they were left out
+	// of the log. A busy entry leaves out 150 a second, so they reach back some seconds,
+	// about as long as a request takes. They take 200 KB, and a search some 5 µs.
 	recentEvents = 1024
-	// recentTime is how long a step may have a line after all.
-	recentTime = 10 * time.Second
+	// recentMaxAge is the age up to which a left-out step may still be logged.
+	recentMaxAge = 10 * time.Second
 )
 
-// kept is an event without a line.
-type kept struct {
+// unloggedEvent is an event that was left out of the log.
+type unloggedEvent struct {
 	at    time.Time
 	event timeline.Event
 }
 
 // recent keeps the latest successful steps that the budget left out.
 //
-// Under load most requests have no lines, and nobody knows of a request that it will
-// fail when its first steps are taken. Its failure would then stand alone: without
-// the holders that had its tasks and the targets where they ran, the way to the cause
-// ends. So the steps are written when the request fails.
+// Under load most requests have no lines, and whether a request will fail is not known
+// at its first steps. Its failure alone would not show which holders had its tasks and
+// on which targets they ran, so the cause could not be traced. The steps are therefore
+// logged once the request fails.
 type recent struct {
-	events []kept
+	events []unloggedEvent
 	next   int
 }
 
-func (r *recent) keep(at time.Time, ev *timeline.Event) {
+func (r *recent) add(at time.Time, ev *timeline.Event) {
 	if ev.Submission == "" {
 		return
 	}
-	k := kept{at, *ev}
-	k.event.Cause = bound(k.event.Cause)
+	k := unloggedEvent{at, *ev}
+	k.event.Cause = truncate(k.event.Cause)
 	if len(r.events) < recentEvents {
 		r.events = append(r.events, k)
 		return
@@ -47,19 +47,19 @@
 	r.next = (r.next + 1) % recentEvents
 }
 
-// take returns up to most events of a request, oldest first, and forgets them.
-func (r *recent) take(now time.Time, id job.ID, most int) []kept {
-	var found []kept
+// take removes and returns up to limit events of a request, oldest first.
+func (r *recent) take(now time.Time, id job.ID, limit int) []unloggedEvent {
+	var steps []unloggedEvent
 	for i := range r.events {
 		k := &r.events[(r.next+i)%len(r.events)]
-		if len(found) >= most {
+		if len(steps) >= limit {
 			break
 		}
-		if k.event.Submission != id || now.Sub(k.at) > recentTime {
+		if k.event.Submission != id || now.Sub(k.at) > recentMaxAge {
 			continue
 		}
-		found = append(found, *k)
+		steps = append(steps, *k)
 		k.event = timeline.Event{}
 	}
-	return found
+	return steps
 }
--- a/internal/eventlog/sink.go
+++ b/internal/eventlog/sink.go
@@ -11,29 +11,32 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// The budgets, in lines a second for each kind of event. A line takes 250 bytes
-// and about 5 µs. Failures are few and are what one looks for; of the rest a sample
-// is kept whole by the request, so that the lines of one request stand together.
+// The budgets, in lines per second for each kind of event. A line takes 250 bytes and
+// about 5 µs. Failures are few and are what operators search for. The other events are
+// sampled by request, so that the lines of one request are kept together.
 const (
+	// failureLines is for events with a reason, and for warnings and errors.
 	failureLines = 100
-	beliefLines  = 50
+	// fleetLines is for events and lines that concern no request.
+	fleetLines = 50
+	// successLines is for successful steps of requests.
 	successLines = 20
-	// earlierLines bounds the lines that were left out and are written after all
-	// because their request failed, of all kinds together: about ten requests'.
+	// earlierLines bounds the left-out lines that are logged later because their
+	// request failed, for all kinds together. It is enough for about ten requests.
 	earlierLines = 100
-	// maxCause bounds the text of a line in bytes, and with it the bytes of a second:
-	// a target's own words may be of any length.
+	// maxCause bounds the cause in a line, in bytes, and so the bytes logged per
+	// second. The error text of a target may have any length.
 	maxCause = 240
 )
 
-// sampleOf is the part of the successful requests of which lines are written when
-// the budget does not hold all: one in so many, by their id.
-const sampleOf = 8
+// sampleDivisor is the sampling rate of successful requests when the budget does not
+// cover all of them: one in sampleDivisor is logged, selected by its id.
+const sampleDivisor = 8
 
-// window is the time that a budget is for.
+// window is the period to which a budget applies.
 const window = time.Second
 
-// Sink writes events as log lines and hands them on.
+// Sink writes events as log lines and forwards them to the next sink.
 type Sink struct {
 	next timeline.Sink
 	log  *slog.Logger
@@ -44,11 +47,11 @@
 	earlier int
 	left    leftOut
 	recent  recent
-	// received waits to be told.
+	// received holds ids that are not logged yet.
 	received received
 }
 
-// New returns a sink that writes to log and hands each event on to next.
+// New returns a sink that writes to log and forwards each event to next.
 func New(next timeline.Sink, log *slog.Logger) *Sink {
 	return &Sink{next: next, log: log, written: map[timeline.Kind]int{}, left: newLeftOut()}
 }
@@ -60,30 +63,30 @@
 		return
 	}
 	now := time.Now()
-	allowed, before := s.allow(now, &ev)
-	for i := range before {
-		s.write(before[i].at, &before[i].event, true)
+	allowed, earlierSteps := s.allow(now, &ev)
+	for i := range earlierSteps {
+		s.write(earlierSteps[i].at, &earlierSteps[i].event, true)
 	}
 	if allowed {
 		s.write(now, &ev, false)
 	}
 }
 
-// LeftOut returns how many lines the budgets left out, those of other lines than events
-// included.
+// LeftOut returns how many lines the budgets left out, including lines that are not
+// events.
 func (s *Sink) LeftOut() uint64 {
 	var others uint64
-	if l, ok := s.log.Handler().(*limited); ok {
-		others = l.shared.leftOut()
+	if l, ok := s.log.Handler().(*limitedHandler); ok {
+		others = l.budget.leftOut()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return others + s.left.total
 }
 
-// allow reports whether the event is within the budget, and returns what was left out
-// of its request before, if it is a failure.
-func (s *Sink) allow(now time.Time, ev *timeline.Event) (allowed bool, before []kept) {
+// allow reports whether the event is within the budget. For a failure it also returns
+// the earlier events of the request that were left out.
+func (s *Sink) allow(now time.Time, ev *timeline.Event) (allowed bool, earlierSteps []unloggedEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now.Sub(s.began) >= window {
@@ -92,50 +95,50 @@
 		s.received.listed = 0
 		clear(s.written)
 	}
-	if !s.within(ev) {
+	if !s.withinBudget(ev) {
 		s.leaveOut(ev)
 		if ev.Reason == "" {
-			s.recent.keep(now, ev)
+			s.recent.add(now, ev)
 		}
 		return false, nil
 	}
 	s.written[ev.Kind]++
-	if ev.Submission != "" && !explainsItself(ev.Reason) {
-		before = s.recent.take(now, ev.Submission, earlierLines-s.earlier)
-		s.earlier += len(before)
+	if ev.Submission != "" && !selfExplanatory(ev.Reason) {
+		earlierSteps = s.recent.take(now, ev.Submission, earlierLines-s.earlier)
+		s.earlier += len(earlierSteps)
 	}
-	return true, before
+	return true, earlierSteps
 }
 
-// leaveOut counts an event without a line; the caller holds the lock.
+// leaveOut counts an event without a line. The caller holds the lock.
 func (s *Sink) leaveOut(ev *timeline.Event) {
 	if s.left.add(ev) {
-		time.AfterFunc(window, s.tellLeftOut)
+		time.AfterFunc(window, s.logLeftOut)
 	}
 	if ev.Kind == timeline.SubmissionReceived && s.received.add(ev.Submission) {
-		time.AfterFunc(receivedEvery, s.tellReceived)
+		time.AfterFunc(receivedInterval, s.logReceived)
 	}
 }
 
-// within reports whether the event is within its kind's budget; the caller holds
-// the lock.
-func (s *Sink) within(ev *timeline.Event) bool {
+// withinBudget reports whether the event is within the budget of its kind. The caller
+// holds the lock.
+func (s *Sink) withinBudget(ev *timeline.Event) bool {
 	n := s.written[ev.Kind]
 	switch {
 	case ev.Reason != "":
 		return n < failureLines
 	case ev.Submission == "":
-		return n < beliefLines
+		return n < fleetLines
 	case n < successLines/2:
 		return true
 	}
-	return n < successLines && sampled(ev.Submission)
+	return n < successLines && inSample(ev.Submission)
 }
 
-// explainsItself reports whether the steps before an event add nothing to it: it is no
-// failure, or a refusal, which has its cause in its own line and which come by the
-// hundred where there are many.
-func explainsItself(reason job.Reason) bool {
+// selfExplanatory reports whether the earlier steps of the request add nothing to an
+// event with this reason: it is no failure, or it is a refusal. A refusal has its cause
+// in its own line, and refusals may come by the hundred.
+func selfExplanatory(reason job.Reason) bool {
 	switch reason {
 	case "", job.Overloaded, job.QueueFull, job.OverQuota, job.Draining, job.NotConfigured, job.NoTarget, job.Infeasible:
 		return true
@@ -143,42 +146,42 @@
 	return false
 }
 
-// sampled reports whether the request is one of which lines are kept under load.
-func sampled(id job.ID) bool {
+// inSample reports whether the lines of the request are written under load.
+func inSample(id job.ID) bool {
 	var sum uint32
 	for i := range len(id) {
 		sum = sum*31 + uint32(id[i])
 	}
-	return sum%sampleOf == 0
+	return sum%sampleDivisor == 0
 }
 
-// write writes one line with the time at which the event came about. A line that was
-// left out at first says so: it stands behind later ones.
+// write writes one line with the time of the event. A line that was left out at first
+// is marked as earlier, since it comes after lines of later events.
 func (s *Sink) write(at time.Time, ev *timeline.Event, earlier bool) {
 	level := slog.LevelInfo
 	if ev.Reason != "" {
 		level = slog.LevelWarn
 	}
 	handler := s.log.Handler()
-	if l, ok := handler.(*limited); ok {
-		handler = l.next // events have a budget of their own
+	if l, ok := handler.(*limitedHandler); ok {
+		handler = l.next // events have their own budget
 	}
 	if !handler.Enabled(context.Background(), level) {
 		return
 	}
 	line := slog.NewRecord(at, level, string(ev.Kind), 0)
-	put := func(key string, value string) {
+	addString := func(key string, value string) {
 		if value != "" {
 			line.AddAttrs(slog.String(key, value))
 		}
 	}
-	put("request", string(ev.Submission))
+	addString("request", string(ev.Submission))
 	if ev.Submission != "" && ev.Target != "" {
 		line.AddAttrs(slog.Int("task", ev.Task))
 	}
-	put("target", string(ev.Target))
-	put("peer", string(ev.Peer))
-	put("reason", string(ev.Reason))
+	addString("target", string(ev.Target))
+	addString("peer", string(ev.Peer))
+	addString("reason", string(ev.Reason))
 	if ev.Count != 0 {
 		line.AddAttrs(slog.Int("count", ev.Count))
 	}
@@ -188,16 +191,16 @@
 	if ev.Ideal != 0 {
 		line.AddAttrs(slog.Int64("ideal_ms", ev.Ideal.Milliseconds()))
 	}
-	put("cause", bound(ev.Cause))
+	addString("cause", truncate(ev.Cause))
 	if earlier {
 		line.AddAttrs(slog.Bool("earlier", true))
 	}
-	// The handler fails only where its writer does, and that one counts what it drops.
+	// The handler fails only if its writer does, and the writer counts dropped lines.
 	_ = handler.Handle(context.Background(), line)
 }
 
-// bound cuts a long text.
-func bound(text string) string {
+// truncate shortens a text to maxCause bytes and marks the cut with an ellipsis.
+func truncate(text string) string {
 	if len(text) <= maxCause {
 		return text
 	}
--- a/internal/eventlog/writer.go
+++ b/internal/eventlog/writer.go
@@ -1,10 +1,10 @@
-// Package eventlog writes what a process decides as JSON lines, within a budget
-// and without ever blocking the work that it tells of.
+// Package eventlog writes the events of a process as JSON lines, within a rate budget
+// and without ever blocking the work that it logs.
 //
-// The load pattern is hundreds of jobs a second, each with a dozen events, on a
-// fraction of a processor, and a reader of the lines that may stop reading.
-// Without a budget the lines cost more than the work; without a buffer of its own a
-// reader that stops would stop the process.
+// The expected load is hundreds of jobs a second, each with a dozen events, on a
+// fraction of a processor, and a log reader that may stop reading. Without a budget,
+// logging would cost more than the work itself. Without a buffer, a reader that stops
+// would block the process.
 package eventlog
 
 import (
@@ -16,19 +16,19 @@
 )
 
 const (
-	// maxBuffered bounds the bytes that wait for the reader: some seconds of the
-	// whole budget.
+	// maxBuffered bounds the bytes that wait for the reader. It holds some seconds of
+	// output at the full budget.
 	maxBuffered = 256 << 10
-	// flushEvery joins the lines of a moment into one write.
-	flushEvery = 50 * time.Millisecond
-	// maxWrite bounds one write, in bytes: a pipe takes no more of it as a whole
-	// (PIPE_BUF of Linux). Readers that take one piece at a time cut a longer one off,
-	// and the lines that say why are the last of a busy moment.
+	// flushInterval is how long lines are collected before they are written together.
+	flushInterval = 50 * time.Millisecond
+	// maxWrite bounds one write, in bytes. A pipe accepts no more atomically (PIPE_BUF
+	// on Linux). Readers that process one chunk at a time truncate a longer one, and
+	// the last lines of a burst are often those that explain it.
 	maxWrite = 4 << 10
 )
 
-// Writer is an io.Writer that never blocks: what finds the buffer full is dropped
-// and counted.
+// Writer is an io.Writer that never blocks. It drops and counts lines that do not fit
+// into its buffer.
 type Writer struct {
 	out     io.Writer
 	dropped atomic.Uint64
@@ -48,7 +48,7 @@
 	return w
 }
 
-// Write implements io.Writer. It takes one whole line or drops it.
+// Write implements io.Writer. It buffers a line whole or drops it.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if w.closed || len(w.buffer)+len(line) > maxBuffered {
@@ -68,7 +68,7 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines found the buffer full.
+// Dropped returns the number of lines that were dropped.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
 func (w *Writer) run() {
@@ -82,32 +82,32 @@
 			return
 		}
 		select {
-		case <-time.After(flushEvery):
+		case <-time.After(flushInterval):
 		case <-w.done:
 		}
 		spare = w.flush(spare)
 	}
 }
 
-// flush writes what waits and returns the buffer for use again.
+// flush writes the buffered lines and returns their buffer for reuse.
 func (w *Writer) flush(spare []byte) []byte {
 	w.mu.Lock()
 	lines := w.buffer
 	w.buffer = spare[:0]
 	w.mu.Unlock()
 	for rest := lines; len(rest) > 0; {
-		piece := wholeLines(rest)
-		rest = rest[len(piece):]
-		if _, err := w.out.Write(piece); err != nil {
-			// Nobody reads any more; the count is all that can be kept.
+		chunk := wholeLines(rest)
+		rest = rest[len(chunk):]
+		if _, err := w.out.Write(chunk); err != nil {
+			// The reader is gone, so the lines can only be counted.
 			w.dropped.Add(1)
 		}
 	}
 	return lines
 }
 
-// wholeLines returns the lines from the beginning that fit into one write; a line that is
-// longer by itself goes alone.
+// wholeLines returns the leading lines that fit into one write. A first line longer
+// than maxWrite is returned alone.
 func wholeLines(lines []byte) []byte {
 	if len(lines) <= maxWrite {
 		return lines
@@ -121,10 +121,11 @@
 	return lines
 }
 
-// closeTime bounds how long the last lines wait for their reader.
-const closeTime = 200 * time.Millisecond
+// closeTimeout bounds how long Close waits for the reader.
+const closeTimeout = 200 * time.Millisecond
 
-// Close writes what waits, unless the reader does not read it in time.
+// Close flushes the buffer. It returns after closeTimeout even if the reader has not
+// read everything.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if w.closed {
@@ -136,6 +137,6 @@
 	close(w.done)
 	select {
 	case <-w.stopped:
-	case <-time.After(closeTime):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/eventlog/writer_test.go
+++ b/internal/eventlog/writer_test.go
@@ -10,24 +10,24 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// pieces keeps each write by itself.
-type pieces struct {
-	mu  sync.Mutex
-	all [][]byte
+// recordedWrites is a writer that keeps each write separately.
+type recordedWrites struct {
+	mu     sync.Mutex
+	writes [][]byte
 }
 
-func (p *pieces) Write(b []byte) (int, error) {
+func (p *recordedWrites) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.all = append(p.all, bytes.Clone(b))
+	p.writes = append(p.writes, bytes.Clone(b))
 	return len(b), nil
 }
 
-// An entry that has just gone on after a pause writes hundreds of lines within a moment.
-// What reads them takes a bounded piece of each write: if they come in one write, the
-// lines behind are lost, among them the one that tells of the pause.
-func TestABusyMomentIsWrittenInPiecesOfWholeLines(t *testing.T) {
-	var out pieces
+// An entry that resumes after a pause writes hundreds of lines at once. Its log reader
+// reads only a bounded part of each write, so a single large write would lose the last
+// lines, among them the one that reports the pause.
+func TestBurstIsWrittenInChunksOfWholeLines(t *testing.T) {
+	var out recordedWrites
 	w := NewWriter(&out)
 	var want strings.Builder
 	for i := range 400 {
@@ -43,9 +43,9 @@
 	w.Close()
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	for _, piece := range out.all {
-		qt.Assert(t, piece[len(piece)-1], qt.Equals, byte('\n'))
-		qt.Assert(t, len(piece) <= maxWrite || bytes.Count(piece, []byte("\n")) == 1, qt.IsTrue, qt.Commentf("%d bytes", len(piece)))
+	for _, chunk := range out.writes {
+		qt.Assert(t, chunk[len(chunk)-1], qt.Equals, byte('\n'))
+		qt.Assert(t, len(chunk) <= maxWrite || bytes.Count(chunk, []byte("\n")) == 1, qt.IsTrue, qt.Commentf("%d bytes", len(chunk)))
 	}
-	qt.Assert(t, string(bytes.Join(out.all, nil)), qt.Equals, want.String())
+	qt.Assert(t, string(bytes.Join(out.writes, nil)), qt.Equals, want.String())
 }
