--- a/internal/timeline/clock.go
+++ b/internal/timeline/clock.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// logicalBits is how many low bits of a stamp count events within one
+// logicalBits is the number of low bits of a stamp that count events within one
 // millisecond.
 const logicalBits = 16
 
-// MaxDrift bounds how far ahead of its own wall clock an entry follows a peer.
-// VMs under time synchronisation differ by milliseconds, and one that was
-// paused or has just booted by a few seconds, so 10 s takes in every honest
-// clock. A peer further ahead has a broken clock: following it would stamp this
-// entry's events in the future until the wall clock caught up, and every entry
-// that talks to this one would pass the error on.
+// MaxDrift bounds how far ahead of its own wall clock an entry follows the clock
+// of a peer. The clocks of synchronised VMs differ by milliseconds, and that of a
+// VM that was paused or has just booted by a few seconds, so 10 s covers every
+// working clock. A peer further ahead has a broken clock. Following it would stamp
+// this entry's events in the future until the wall clock caught up, and the error
+// would spread to every entry that exchanges messages with this one.
 const MaxDrift = 10 * time.Second
 
 // StampAt returns the lowest stamp of the millisecond of t.
@@ -27,16 +27,16 @@
 	return time.UnixMilli(int64(s >> logicalBits))
 }
 
-// Clock is a hybrid logical clock: its readings follow the wall clock, never go
-// back, never repeat, and are above every reading observed from a peer. It is
-// safe for concurrent use.
+// Clock is a hybrid logical clock. Its timestamps follow the wall clock, increase
+// strictly, and are above every timestamp observed from a peer. It is safe for
+// concurrent use.
 type Clock struct {
 	wall     func() time.Time
 	last     atomic.Uint64
 	rejected atomic.Uint64
 }
 
-// NewClock returns a clock over the given wall clock; nil takes time.Now.
+// NewClock returns a clock based on the given wall clock. A nil wall means time.Now.
 func NewClock(wall func() time.Time) *Clock {
 	if wall == nil {
 		wall = time.Now
@@ -44,7 +44,7 @@
 	return &Clock{wall: wall}
 }
 
-// Now returns a reading above all earlier readings and observations.
+// Now returns a timestamp above all earlier and all observed ones.
 func (c *Clock) Now() uint64 {
 	physical := uint64(StampAt(c.wall()))
 	for {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Observe moves the clock past a peer's reading. A reading more than MaxDrift
-// ahead of the own wall clock is counted and left out.
+// Observe advances the clock past a peer's timestamp. A timestamp more than
+// MaxDrift ahead of the local wall clock is counted and ignored.
 func (c *Clock) Observe(remote uint64) {
 	if remote <= c.last.Load() {
 		return
@@ -74,5 +74,5 @@
 	}
 }
 
-// Rejected returns how many observed readings were too far ahead to follow.
+// Rejected returns how many observed timestamps were too far ahead to follow.
 func (c *Clock) Rejected() uint64 { return c.rejected.Load() }
--- a/internal/timeline/event.go
+++ b/internal/timeline/event.go
@@ -1,6 +1,6 @@
-// Package timeline records what one process did as typed events in a bounded
-// ring, orders them across processes by a hybrid logical clock, and merges the
-// rings of all entries into one time line.
+// Package timeline records the typed events of a process in a bounded ring, orders
+// them across processes by a hybrid logical clock, and merges the rings of all
+// entries into one time line.
 package timeline
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Stamp is a hybrid logical clock reading: the high 48 bits are Unix
+// Stamp is a timestamp of a hybrid logical clock. The high 48 bits are Unix
 // milliseconds, the low 16 bits count events within one millisecond.
 type Stamp uint64
 
@@ -56,24 +56,24 @@
 	EntryStopped       Kind = "entry_stopped"
 	EntryPaused        Kind = "entry_paused"
 	OwnerSilent        Kind = "owner_silent"
-	// RunAccepted is a target's word that it has taken a start, LeaseRenewed a renewal
-	// of the lease of a target's runs. They are only counted.
+	// RunAccepted means that a target confirmed a start request, LeaseRenewed that the
+	// lease of a target's runs was renewed. Both are only counted.
 	RunAccepted  Kind = "run_accepted"
 	LeaseRenewed Kind = "lease_renewed"
 )
 
-// OnlyCounted reports whether events of the kind are counted and neither kept nor
-// written: there are several for each task, and they say nothing that the others of
-// the task don't.
+// OnlyCounted reports whether events of the kind are counted but neither kept in the
+// ring nor logged. There are several of them for each task, and they add nothing to
+// the task's other events.
 func (k Kind) OnlyCounted() bool { return k == RunAccepted || k == LeaseRenewed }
 
 // Late is the reason of a complete answer, or of a batch with all its results, that
-// took clearly longer than the latency objective of its service allows. It is no reason of a failed
-// answer, but whoever looks for what happened to a late request needs what was
-// recorded of it as much as that of a failed one.
+// took clearly longer than the latency objective of its service allows. A late answer
+// has not failed, but investigating it takes the same recorded events as investigating
+// a failure.
 const Late job.Reason = "late"
 
-// Event is one thing that one process did or learned, with its cause.
+// Event is something that a process did or learned, with its cause.
 type Event struct {
 	Stamp      Stamp         `json:"stamp" cbor:"1,keyasint"`
 	Entry      job.EntryID   `json:"entry" cbor:"2,keyasint"`
@@ -86,17 +86,17 @@
 	Cause      string        `json:"cause,omitempty" cbor:"9,keyasint,omitempty"`
 	Count      int           `json:"count,omitempty" cbor:"10,keyasint,omitempty"`
 	Took       time.Duration `json:"took,omitempty" cbor:"11,keyasint,omitempty"`
-	// Ideal is what the work itself is declared to take, on an answer.
+	// Ideal is the declared duration of the work itself. It is set on answers.
 	Ideal time.Duration `json:"ideal,omitempty" cbor:"12,keyasint,omitempty"`
 }
 
-// Sink takes events. Record fills in Stamp and Entry, never blocks and never
-// fails: a full ring drops its oldest event.
+// Sink receives events. Record sets Stamp and Entry, never blocks and never fails:
+// a full ring drops its oldest event.
 type Sink interface {
 	Record(Event)
 }
 
-// Discard is a Sink that keeps nothing.
+// Discard is a Sink that ignores all events.
 type Discard struct{}
 
 // Record does nothing.
--- a/internal/timeline/explain.go
+++ b/internal/timeline/explain.go
@@ -9,7 +9,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Sentence is one statement of a story.
+// Sentence describes one step of a story.
 type Sentence struct {
 	// At is the time since the story's first event.
 	At    time.Duration `json:"at"`
@@ -17,27 +17,27 @@
 	Text  string        `json:"text"`
 }
 
-// Story is what happened to one submission, with the reason of each decision.
+// Story describes what happened to one submission, with the reason of each decision.
 type Story struct {
 	Submission job.ID     `json:"submission"`
 	Found      bool       `json:"found"`
 	Sentences  []Sentence `json:"sentences"`
-	// Missing says what the story may lack.
+	// Missing lists what the story may lack.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// storyTasks is up to how many tasks each one is told by itself; above, starts
-// and ends are summed up by target.
-const storyTasks = 4
+// maxSeparateTasks is the number of tasks up to which each one has its own
+// sentences. With more tasks, starts and ends are summarised by target.
+const maxSeparateTasks = 4
 
-// Explain tells the story of one submission.
+// Explain returns the story of one submission.
 func Explain(t Timeline, id job.ID) Story {
 	events := t.Of(id)
 	story := Story{Submission: id, Found: len(events) > 0}
 	if story.Found {
-		t.missing(&story, events[0].Stamp)
+		t.addMissing(&story, events[0].Stamp)
 	} else {
-		t.missing(&story, 0)
+		t.addMissing(&story, 0)
 	}
 	if !story.Found {
 		return story
@@ -48,69 +48,70 @@
 	}
 	sums := sumTasks(events)
 	var first *Event
-	told := map[*Event]bool{}
+	mentioned := map[*Event]bool{}
 	for i := range events {
 		ev := &events[i]
 		if ev.Kind == SubmissionReceived {
 			if first != nil {
-				add(ev, sentAgain(first, ev))
+				add(ev, resubmissionText(first, ev))
 			} else {
 				first = ev
 			}
 		}
-		if sums.many() && sums.covers(ev) {
-			if text := sums.tell(ev); text != "" {
+		if sums.many() && sums.canSummarise(ev) {
+			if text := sums.summary(ev); text != "" {
 				add(ev, text)
 			}
 			continue
 		}
 		add(ev, sentence(ev))
-		if other := t.concerning(ev); other != nil && !told[other] {
-			told[other] = true
-			add(ev, fmt.Sprintf("%s that, at %s: %s", beforeOrAfter(other, ev), clockText(other.Stamp), sentence(other)))
+		if related := t.relatedEvent(ev); related != nil && !mentioned[related] {
+			mentioned[related] = true
+			add(ev, fmt.Sprintf("%s that, at %s: %s", beforeOrAfter(related, ev), clockText(related.Stamp), sentence(related)))
 		}
 	}
 	return story
 }
 
-// sentAgain says that a caller has sent the submission before: its later sending may
-// have been answered well, and what failed is the earlier one.
-func sentAgain(first, ev *Event) string {
+// resubmissionText states that the caller has sent the submission before. The second
+// attempt may have succeeded where the first one failed, so a reader must be able to
+// tell them apart.
+func resubmissionText(first, ev *Event) string {
 	return fmt.Sprintf("the caller sends it again, %s after entry %s received it", round(ev.Stamp.Time().Sub(first.Stamp.Time())), first.Entry)
 }
 
-// contextKinds are the events of targets and entries that a story may refer to.
+// The kinds of events of targets and entries that a story may refer to.
 var (
 	targetContext = []Kind{TargetLapsed, TargetLeaving, TargetSuspect, TargetYielded, LeaseRunOut}
 	entryContext  = []Kind{EntryDead, EntrySuspect, EntryDraining, EntryStopped, EntryPaused, OwnerSilent}
 )
 
-// ContextKinds returns the kinds of events, beside those of the submission itself,
+// ContextKinds returns the kinds of events, apart from those of the submission itself,
 // that its story may refer to.
 func ContextKinds() []Kind { return slices.Concat(targetContext, entryContext) }
 
-// missing lists why the story may not be whole.
-func (t *Timeline) missing(story *Story, from Stamp) {
+// addMissing adds to the story why it may be incomplete.
+func (t *Timeline) addMissing(story *Story, from Stamp) {
 	for _, e := range t.Unreachable {
 		story.Missing = append(story.Missing, fmt.Sprintf("entry %s could not be reached: what it did is not told here", e))
 	}
 	for _, g := range t.Gaps {
 		if from <= g.CompleteFrom && g.CompleteFrom > 0 {
-			story.Missing = append(story.Missing, fmt.Sprintf("entry %s keeps events only from %s on: earlier ones fell out of its ring", g.Entry, clockText(g.CompleteFrom)))
+			story.Missing = append(story.Missing, fmt.Sprintf("events of entry %s are complete only from %s on: its ring dropped earlier ones", g.Entry, clockText(g.CompleteFrom)))
 		}
 		if g.LeftOut > 0 {
-			story.Missing = append(story.Missing, fmt.Sprintf("entry %s has %d more events than were asked for", g.Entry, g.LeftOut))
+			story.Missing = append(story.Missing, fmt.Sprintf("entry %s has %d more matching events than the limit allows", g.Entry, g.LeftOut))
 		}
 	}
 	for _, s := range t.Skewed {
-		story.Missing = append(story.Missing, fmt.Sprintf("the clock of entry %s is %s ahead: its events stand too late", s.Entry, s.Ahead.Round(time.Second)))
+		story.Missing = append(story.Missing, fmt.Sprintf("the clock of entry %s is %s ahead: its events appear too late", s.Entry, s.Ahead.Round(time.Second)))
 	}
 }
 
-// concerning finds, for a lost target or entry, the event of the fleet that belongs to
-// it: the last one before, or the first one that closely follows, since an entry may
-// act on a death before it records it. It returns nil if there is none.
-func (t *Timeline) concerning(ev *Event) *Event {
+// relatedEvent returns the event of the fleet that explains why ev lost a target or an
+// entry, or nil if there is none. It is the last such event before ev, or else the first
+// one shortly after it, since an entry may act on a death before the death is recorded.
+func (t *Timeline) relatedEvent(ev *Event) *Event {
 	var subject string
 	var kinds []Kind
 	switch ev.Reason {
@@ -125,14 +126,14 @@
 	var found *Event
 	for i := range t.Events {
 		other := &t.Events[i]
-		if other.Submission != "" || !slices.Contains(kinds, other.Kind) || !other.concerns(subject) {
+		if other.Submission != "" || !slices.Contains(kinds, other.Kind) || !other.involves(subject) {
 			continue
 		}
 		if other.Stamp <= ev.Stamp {
 			found = other
 			continue
 		}
-		if found == nil && other.Stamp.Time().Sub(ev.Stamp.Time()) <= followsWithin {
+		if found == nil && other.Stamp.Time().Sub(ev.Stamp.Time()) <= maxRecordDelay {
 			found = other
 		}
 		break
@@ -140,11 +141,11 @@
 	return found
 }
 
-// followsWithin is how long after its effect the event of a death may be recorded:
-// other entries notice one by their own heartbeats, some seconds later at most.
-const followsWithin = 3 * time.Second
+// maxRecordDelay is how long after its effect a death may be recorded. Other entries
+// detect it by their own heartbeats, some seconds later at most.
+const maxRecordDelay = 3 * time.Second
 
-func (ev *Event) concerns(subject string) bool {
+func (ev *Event) involves(subject string) bool {
 	return string(ev.Target) == subject || string(ev.Peer) == subject || string(ev.Entry) == subject
 }
 
@@ -155,7 +156,8 @@
 	return "before"
 }
 
-// taskSums counts the plain starts and ends of tasks by entry and target.
+// taskSums counts the tasks that were queued, started and ended as planned, by entry,
+// target and cause.
 type taskSums struct {
 	tasks map[int]bool
 	sums  map[sumKey]*taskSum
@@ -169,10 +171,10 @@
 }
 
 type taskSum struct {
-	count   int
-	told    bool
-	longest time.Duration
-	last    Stamp
+	count    int
+	reported bool
+	longest  time.Duration
+	last     Stamp
 }
 
 func sumTasks(events []Event) *taskSums {
@@ -183,7 +185,7 @@
 			continue
 		}
 		s.tasks[ev.Task] = true
-		if !s.covers(ev) {
+		if !s.canSummarise(ev) {
 			continue
 		}
 		k := keyOf(ev)
@@ -198,15 +200,15 @@
 	return s
 }
 
-// keyOf sums by target and cause.
 func keyOf(ev *Event) sumKey {
 	return sumKey{entry: ev.Entry, kind: ev.Kind, target: ev.Target, cause: ev.Cause}
 }
 
-func (s *taskSums) many() bool { return len(s.tasks) > storyTasks }
+func (s *taskSums) many() bool { return len(s.tasks) > maxSeparateTasks }
 
-// covers reports whether the event may be summed up: it went as planned.
-func (s *taskSums) covers(ev *Event) bool {
+// canSummarise reports whether the event may be summarised, which holds if the task
+// went as planned.
+func (s *taskSums) canSummarise(ev *Event) bool {
 	switch ev.Kind {
 	case TaskQueued, TaskStarted, TaskEnded:
 		return ev.Reason == "" && ev.HasTask()
@@ -214,30 +216,31 @@
 	return false
 }
 
-// tell returns the sum's one sentence at its first event, and nothing after.
-func (s *taskSums) tell(ev *Event) string {
+// summary returns the sentence of a sum for its first event, and an empty string for
+// the others.
+func (s *taskSums) summary(ev *Event) string {
 	sum := s.sums[keyOf(ev)]
-	if sum.told {
+	if sum.reported {
 		return ""
 	}
-	sum.told = true
+	sum.reported = true
 	if sum.count == 1 {
 		return sentence(ev)
 	}
-	over := ""
+	overText := ""
 	if span := sum.last.Time().Sub(ev.Stamp.Time()); span > 0 {
-		over = fmt.Sprintf(" over %s", span)
+		overText = fmt.Sprintf(" over %s", span)
 	}
 	switch ev.Kind {
 	case TaskQueued:
-		return fmt.Sprintf("%d tasks wait%s%s", sum.count, over, because(ev.Cause))
+		return fmt.Sprintf("%d tasks wait%s%s", sum.count, overText, causeText(ev.Cause))
 	case TaskStarted:
-		return fmt.Sprintf("%d tasks start on target %s%s%s", sum.count, ev.Target, over, because(ev.Cause))
+		return fmt.Sprintf("%d tasks start on target %s%s%s", sum.count, ev.Target, overText, causeText(ev.Cause))
 	}
-	return fmt.Sprintf("%d tasks end on target %s%s, the longest after %s", sum.count, ev.Target, over, round(sum.longest))
+	return fmt.Sprintf("%d tasks end on target %s%s, the longest after %s", sum.count, ev.Target, overText, round(sum.longest))
 }
 
-func because(cause string) string {
+func causeText(cause string) string {
 	if cause == "" {
 		return ""
 	}
--- a/internal/timeline/merge.go
+++ b/internal/timeline/merge.go
@@ -7,45 +7,46 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Timeline is the merged events of several entries and what is missing of
+// Timeline holds the merged events of several entries, and what is missing from
 // them.
 type Timeline struct {
 	Events []Event `json:"events"`
-	// Unreachable names the entries that could not be asked.
+	// Unreachable lists the entries that could not be queried.
 	Unreachable []job.EntryID `json:"unreachable,omitempty"`
-	// Gaps names the entries whose rings have lost events.
+	// Gaps lists the entries whose events are incomplete.
 	Gaps []Gap `json:"gaps,omitempty"`
-	// Skewed names the entries whose clocks are too far from the others for
+	// Skewed lists the entries whose clocks differ too much from the others for
 	// their events to be in order.
 	Skewed []Skew `json:"skewed,omitempty"`
-	// Next is where a reader goes on: no event at or before it is still to come.
+	// Next is the stamp from which a reader continues: no event at or before it can
+	// still be added.
 	Next Stamp `json:"next"`
 }
 
-// Gap says from when on one entry's events are whole.
+// Gap says which events of an entry are missing.
 type Gap struct {
 	Entry job.EntryID `json:"entry"`
-	// Dropped counts the events that fell out of the ring.
+	// Dropped counts the events that the ring dropped.
 	Dropped uint64 `json:"dropped,omitempty"`
-	// CompleteFrom is the stamp from which on nothing is lacking.
+	// CompleteFrom is the stamp from which no event was dropped.
 	CompleteFrom Stamp `json:"complete_from,omitempty"`
 	// LeftOut counts matching events beyond the query's limit.
 	LeftOut int `json:"left_out,omitempty"`
 }
 
-// Skew is how far one entry's clock is ahead of the earliest one.
+// Skew says how far an entry's clock is ahead of the earliest one.
 type Skew struct {
 	Entry job.EntryID   `json:"entry"`
 	Ahead time.Duration `json:"ahead"`
 }
 
-// followOverlap is how far before an entry's clock a follower goes on reading.
-// A writer takes its stamp before it gets the shard's lock, so an event may
-// enter the ring a moment after a reading with a higher stamp.
+// followOverlap is how far before an entry's clock a follower continues reading. A
+// writer takes its stamp before it locks the shard, so an event may enter the ring
+// shortly after a read that was stamped higher.
 const followOverlap = time.Second
 
-// Merge orders the pages of several entries into one time line. An event that
-// stands in two pages is taken once.
+// Merge orders the pages of several entries into one time line. An event that is in
+// two pages is included once.
 func Merge(pages []Page, unreachable []job.EntryID) Timeline {
 	t := Timeline{Unreachable: slices.Sorted(slices.Values(unreachable))}
 	var earliest Stamp
@@ -73,7 +74,7 @@
 	return t
 }
 
-// Sort orders the events and drops those that stand there twice.
+// Sort orders the events and removes duplicates.
 func (t *Timeline) Sort() {
 	slices.SortFunc(t.Events, byStamp)
 	t.Events = slices.CompactFunc(t.Events, func(a, b Event) bool {
@@ -91,7 +92,7 @@
 	return 0
 }
 
-// Of returns the part of the time line that concerns one submission.
+// Of returns the events of one submission.
 func (t *Timeline) Of(id job.ID) []Event {
 	var out []Event
 	for i := range t.Events {
@@ -102,9 +103,9 @@
 	return out
 }
 
-// HasTask reports whether the Task field of the event means a task: index 0 is
-// a task too. Tasks that are queued or dropped together are counted by one
-// event.
+// HasTask reports whether the Task field of the event identifies a task, since index
+// 0 is a valid task too. Tasks that are queued or dropped together share one event,
+// which counts them.
 func (ev *Event) HasTask() bool {
 	switch ev.Kind {
 	case TaskQueued, TaskDropped:
--- a/internal/timeline/merge_test.go
+++ b/internal/timeline/merge_test.go
@@ -17,8 +17,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer/peertest"
 )
 
-// fleet is three entries whose clocks follow each other, as the links do on
-// every frame.
+// fleet is a set of entries. Their clocks observe each other with every message, as
+// links do with every frame.
 type fleet struct {
 	wall   *wallClock
 	clocks map[job.EntryID]*Clock
@@ -55,8 +55,8 @@
 	return Merge(pages, unreachable)
 }
 
-// resubmitted is a submission whose first owner a1 dies after handing a batch
-// to a2; its caller sends it again through b1, which takes it over.
+// resubmitted returns a fleet with a submission whose first owner a1 dies after it
+// sent a batch to a2. Its caller sends it again through b1, which takes it over.
 func resubmitted() *fleet {
 	f := newFleet("a1", "a2", "b1")
 	f.record("a1", Event{Kind: SubmissionReceived, Submission: "alert-7", Count: 2})
@@ -72,8 +72,8 @@
 	return f
 }
 
-// An owner dies and its caller resubmits elsewhere. The caller is told that its
-// alert may have run; somebody has to find out why from three processes.
+// An owner dies and its caller resubmits to another entry, which answers that a task
+// may have run. The story must show why, from the events of three processes.
 func TestStoryOfResubmission(t *testing.T) {
 	story := Explain(resubmitted().merged(), "alert-7")
 	var out bytes.Buffer
@@ -92,9 +92,9 @@
 `)
 }
 
-// The entry that ran the task is cut off from the operator. A story without it
-// must say so, since it would otherwise read as if nothing had run.
-func TestStoryNamesWhatItLacks(t *testing.T) {
+// The operator can't reach the entry that ran the task. The story must say so, since
+// it would otherwise read as if nothing had run.
+func TestStoryListsUnreachableEntries(t *testing.T) {
 	story := Explain(resubmitted().merged("a2"), "alert-7")
 	qt.Assert(t, story.Missing, qt.DeepEquals, []string{"entry a2 could not be reached: what it did is not told here"})
 	none := Explain(resubmitted().merged("a1", "a2", "b1"), "alert-7")
@@ -111,9 +111,9 @@
 		"refused, nothing ran, because the expected wait is longer than the request can bear (overloaded): expected wait 2.1s, deadline 800ms")
 }
 
-// A job of 1,900 tasks would tell 3,800 starts and ends; its one failed task,
-// which decided the answer, would drown in them.
-func TestStorySumsUpLargeJobs(t *testing.T) {
+// A job of 1,900 tasks has 3,800 starts and ends. They must be summarised, so that its
+// one failed task, which decided the answer, stays visible.
+func TestStorySummarisesLargeJobs(t *testing.T) {
 	f := newFleet("a1")
 	f.record("a1", Event{Kind: TaskQueued, Submission: "big", Count: 1900})
 	for i := range 1900 {
@@ -130,8 +130,8 @@
 	qt.Assert(t, story.Sentences[2].Text, qt.Contains, "task 17 has no result from target w1, because a task failed at its target (task_failed): exit 3")
 }
 
-// Messages keep the order of cause and effect although the receiver's wall
-// clock is seconds behind.
+// The receiver's wall clock is seconds behind the sender's. The receipt of a message
+// must still come after its sending.
 func TestMergeKeepsCauseBeforeEffect(t *testing.T) {
 	f := newFleet("a1", "a2")
 	behind := newWall()
@@ -146,7 +146,7 @@
 	qt.Assert(t, merged.Events[1].Kind, qt.Equals, BatchReceived)
 }
 
-func TestMergeNamesGapsAndSkew(t *testing.T) {
+func TestMergeReportsGapsAndSkew(t *testing.T) {
 	now := StampAt(newWall().now())
 	late := StampAt(now.Time().Add(time.Hour))
 	ev := Event{Stamp: now, Entry: "a", Kind: EntryStarted}
@@ -161,10 +161,10 @@
 	qt.Assert(t, got.Next < now, qt.IsTrue)
 }
 
-// One of three entries is cut off without a word: its link neither answers nor
-// breaks. The operator must get the other two within the bound and the name of
+// One of three entries is unreachable: its link neither answers nor breaks. The
+// operator must get the events of the other two within the timeout, and the name of
 // the third.
-func TestHandlerReadsFleetAroundSilentEntry(t *testing.T) {
+func TestHandlerReadsFleetDespiteUnresponsiveEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &peertest.Network{Drop: func(_, to job.EntryID, _ peer.Kind, _ bool) bool { return to == "b1" }}
 		rings := map[job.EntryID]*Ring{}
@@ -207,9 +207,9 @@
 	qt.Assert(t, WriteSVG(&svg, line, "none"), qt.ErrorMatches, "submission none in the time line not found")
 }
 
-// A target is silent until the lease of a run has ended, and the job is late. Its
-// story must bring the end of the lease, which no submission owns.
-func TestStoryNamesTheLeaseThatRanOut(t *testing.T) {
+// A target is unresponsive until the lease of a run expires, and the job is late. The
+// story must include the expiry, which is an event of no submission.
+func TestStoryIncludesExpiredLease(t *testing.T) {
 	f := newFleet("a1")
 	f.record("a1", Event{Kind: SubmissionReceived, Submission: "p", Count: 1})
 	f.record("a1", Event{Kind: TaskStarted, Submission: "p", Target: "w1"})
@@ -224,9 +224,9 @@
 }
 
 // An entry dies with a job that must not be kept, and the caller sends it again to
-// another one, where it begins anew. The story says which sending is which, or the
-// tasks of the first one read as if they had run twice.
-func TestStoryOfASecondSending(t *testing.T) {
+// another entry, where it starts from the beginning. The story must distinguish the
+// two attempts, since the tasks would otherwise seem to have run twice.
+func TestStoryMarksResubmission(t *testing.T) {
 	f := newFleet("a1", "b1")
 	f.record("a1", Event{Kind: SubmissionReceived, Submission: "p", Count: 1})
 	f.wall.step(1300 * time.Millisecond)
@@ -237,9 +237,9 @@
 	qt.Assert(t, story.Sentences[1].Text, qt.Matches, `the caller sends it again, 1\.30\ds after entry a1 received it`)
 }
 
-// An owner dies and its holder drops the work on the first sign of it, before any entry
-// has recorded the death. The story must name the death all the same.
-func TestStoryNamesADeathThatIsRecordedAfterwards(t *testing.T) {
+// An owner dies, and its holder drops the work at once, before any entry has recorded
+// the death. The story must still include the death.
+func TestStoryIncludesDeathRecordedLater(t *testing.T) {
 	f := newFleet("a1", "a2")
 	f.record("a1", Event{Kind: BatchReceived, Submission: "p", Peer: "b1", Count: 1})
 	f.record("a1", Event{Kind: BatchReported, Submission: "p", Peer: "b1", Count: 1, Reason: job.OwnerLost})
--- a/internal/timeline/read.go
+++ b/internal/timeline/read.go
@@ -16,12 +16,12 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 )
 
-// readTimeout bounds how long one entry is waited for. A cut-off entry must not
-// keep the operator from seeing the others.
+// readTimeout bounds the wait for an entry. An unreachable entry must not keep the
+// operator from seeing the events of the others.
 const readTimeout = time.Second
 
-// Serve answers other entries' queries from the ring. It is called before the
-// mesh starts.
+// Serve answers the queries of other entries from the ring. It must be called before
+// the mesh starts.
 func Serve(mesh peer.Mesh, ring *Ring) {
 	mesh.Handle(peer.TimelineRead, func(_ context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
 		var q Query
@@ -32,8 +32,8 @@
 	})
 }
 
-// ReadAll asks all peers at once and returns their pages and the peers that did
-// not answer.
+// ReadAll queries all peers concurrently. It returns their pages and the peers that
+// did not answer.
 func ReadAll(ctx context.Context, mesh peer.Mesh, peers []job.EntryID, q Query) (pages []Page, unreachable []job.EntryID) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -62,8 +62,8 @@
 // Reader returns the merged time line of a query.
 type Reader func(ctx context.Context, q Query) Timeline
 
-// FleetReader reads the own ring and those of the peers that peers names at the
-// time of the call.
+// FleetReader returns a reader of the local ring and the rings of the peers, which it
+// gets from peers at each call.
 func FleetReader(mesh peer.Mesh, ring *Ring, peers func() []job.EntryID) Reader {
 	return func(ctx context.Context, q Query) Timeline {
 		pages, unreachable := ReadAll(ctx, mesh, peers(), q)
@@ -81,7 +81,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		// A failed write means that the operator has gone.
+		// A write fails only if the client has disconnected.
 		_ = json.NewEncoder(w).Encode(read(r.Context(), q))
 	})
 }
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -9,50 +9,50 @@
 )
 
 const (
-	// ringShards spreads the writers of one process over several locks. Each
-	// holds its lock for one copy of an event, so 16 keep 12 cores from
-	// waiting on each other.
+	// ringShards spreads the writers of a process over several locks. A writer
+	// holds a lock while it copies one event, so with 16 shards 12 cores do not
+	// wait for each other.
 	ringShards = 16
-	// DefaultRingEvents bounds a ring. An event takes about 150 bytes and its
-	// strings, so the ring stays under 16 MB of the 64 MB that control may take.
+	// DefaultRingEvents bounds a ring. An event takes about 150 bytes plus its
+	// strings, so the ring stays under 16 MB of the 64 MB allowed for control.
 	DefaultRingEvents = 64 << 10
-	// MaxCauseBytes bounds the free text of an event, so that the ring's memory
-	// is bounded by its count.
+	// MaxCauseBytes bounds the free text of an event, so that the number of events
+	// bounds the ring's memory.
 	MaxCauseBytes = 240
-	// MaxPageEvents bounds one answer of a ring: a whole ring in one message
-	// would hold up the link that also carries tasks.
+	// MaxPageEvents bounds a page. A whole ring in one message would block the link,
+	// which also carries tasks.
 	MaxPageEvents = 20000
 )
 
 // Query selects events of a ring.
 type Query struct {
-	// Submission, when set, takes only the events of that submission.
+	// Submission, if set, selects only the events of that submission.
 	Submission job.ID `json:"submission,omitempty" cbor:"1,keyasint,omitempty"`
-	// Since takes only events with a higher stamp.
+	// Since selects only events with a higher stamp.
 	Since Stamp `json:"since,omitempty" cbor:"2,keyasint,omitempty"`
-	// Kinds, when set, takes only events of these kinds.
+	// Kinds, if set, selects only events of these kinds.
 	Kinds []Kind `json:"kinds,omitempty" cbor:"3,keyasint,omitempty"`
-	// Limit bounds the events of one entry; zero takes MaxPageEvents.
+	// Limit bounds the events of one entry. Zero means MaxPageEvents.
 	Limit int `json:"limit,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
-// Page is what one ring answers to a query, in the order of the stamps.
+// Page is the answer of one ring to a query, ordered by stamp.
 type Page struct {
 	Entry  job.EntryID `json:"entry" cbor:"1,keyasint"`
 	Events []Event     `json:"events" cbor:"2,keyasint,omitempty"`
-	// Dropped counts the events that fell out of the ring since its start.
+	// Dropped counts the events that the ring has dropped since its start.
 	Dropped uint64 `json:"dropped" cbor:"3,keyasint,omitempty"`
-	// OldestStamp is the stamp from which on the ring lacks nothing.
+	// OldestStamp is the stamp from which the ring has dropped no event.
 	OldestStamp Stamp `json:"oldest_stamp" cbor:"4,keyasint,omitempty"`
-	// Now is the entry's clock before it read its ring.
+	// Now is the entry's clock just before it read its ring.
 	Now Stamp `json:"now" cbor:"5,keyasint"`
 	// LeftOut counts matching events beyond the limit.
 	LeftOut int `json:"left_out,omitempty" cbor:"6,keyasint,omitempty"`
 }
 
-// Ring keeps the latest events of one process. Its cost does not grow with
-// what it holds: one clock reading, one lock and one copy an event. It is safe
-// for concurrent use.
+// Ring keeps the latest events of a process. Recording an event takes one clock
+// reading, one lock and one copy, however many events the ring holds. It is safe for
+// concurrent use.
 type Ring struct {
 	entry  job.EntryID
 	clock  *Clock
@@ -65,16 +65,16 @@
 	events  []Event
 	next    int
 	dropped uint64
-	// highest is the highest stamp that was dropped: the shard lacks nothing
+	// highestDropped is the highest stamp of a dropped event. The shard is complete
 	// above it.
-	highest Stamp
-	_       [40]byte
+	highestDropped Stamp
+	_              [40]byte
 }
 
 var _ Sink = (*Ring)(nil)
 
-// NewRing returns a ring of about the given number of events; zero takes
-// DefaultRingEvents, and a negative number keeps nothing.
+// NewRing returns a ring for about the given number of events. Zero means
+// DefaultRingEvents, and a negative number disables the ring.
 func NewRing(entry job.EntryID, clock *Clock, events int) *Ring {
 	r := &Ring{entry: entry, clock: clock, off: events < 0}
 	if r.off {
@@ -90,7 +90,7 @@
 	return r
 }
 
-// Record stamps the event and keeps it in place of the shard's oldest one.
+// Record stamps the event and stores it. In a full shard it replaces the oldest event.
 func (r *Ring) Record(ev Event) {
 	if r.off || ev.Kind.OnlyCounted() {
 		return
@@ -106,7 +106,7 @@
 		return
 	}
 	s.dropped++
-	s.highest = max(s.highest, s.events[s.next].Stamp)
+	s.highestDropped = max(s.highestDropped, s.events[s.next].Stamp)
 	s.events[s.next] = ev
 	s.next++
 	if s.next == len(s.events) {
@@ -114,9 +114,9 @@
 	}
 }
 
-// boundCause cuts a long text and mends one that is not UTF-8, such as a
-// target's own words: CBOR would refuse to carry it, and one bad event would
-// hide the whole ring.
+// boundCause truncates a long text and replaces invalid UTF-8, which may come from the
+// error text of a target. CBOR would refuse to encode it, so that a single bad event
+// would make the whole ring unreadable.
 func boundCause(s string) string {
 	if len(s) > MaxCauseBytes {
 		s = strings.Clone(s[:MaxCauseBytes])
@@ -124,24 +124,25 @@
 	return strings.ToValidUTF8(s, "?")
 }
 
-// shardOf spreads consecutive stamps evenly. Spreading by submission would let
-// one job of 1,900 tasks push everything else out of its shard.
+// shardOf spreads consecutive stamps evenly over the shards. If shards were chosen by
+// submission, one job of 1,900 tasks would push all other events out of its shard.
 func shardOf(s Stamp) int {
 	const golden = 0x9E3779B97F4A7C15
 	return int((uint64(s) * golden) >> 60)
 }
 
-// Read returns the matching events. With Since set it takes the first ones
-// after it, so that a reader can go on from there; otherwise the latest.
+// Read returns the matching events. If they exceed the limit, it returns the first ones
+// after Since, so that a reader can continue from there, or the latest ones if Since is
+// not set.
 func (r *Ring) Read(q Query) Page {
 	p := Page{Entry: r.entry, Now: Stamp(r.clock.Now())}
 	for i := range r.shards {
 		s := &r.shards[i]
 		s.mu.Lock()
 		p.Dropped += s.dropped
-		p.OldestStamp = max(p.OldestStamp, s.highest+min(s.highest, 1))
+		p.OldestStamp = max(p.OldestStamp, s.highestDropped+min(s.highestDropped, 1))
 		for j := range s.events {
-			if q.takes(&s.events[j]) {
+			if q.matches(&s.events[j]) {
 				p.Events = append(p.Events, s.events[j])
 			}
 		}
@@ -163,7 +164,7 @@
 	return p
 }
 
-// Len returns how many events the ring holds.
+// Len returns the number of events in the ring.
 func (r *Ring) Len() int {
 	n := 0
 	for i := range r.shards {
@@ -175,7 +176,7 @@
 	return n
 }
 
-func (q *Query) takes(ev *Event) bool {
+func (q *Query) matches(ev *Event) bool {
 	if ev.Stamp <= q.Since {
 		return false
 	}
--- a/internal/timeline/ring_test.go
+++ b/internal/timeline/ring_test.go
@@ -31,9 +31,9 @@
 	w.at = w.at.Add(d)
 }
 
-// A VM's wall clock is set back by its time synchronisation. The events after
-// it would stand before their own causes in the time line.
-func TestClockNeverGoesBack(t *testing.T) {
+// Time synchronisation sets a VM's wall clock back. Later events must not come before
+// their causes in the time line.
+func TestClockIsMonotonic(t *testing.T) {
 	wall := newWall()
 	clock := NewClock(wall.now)
 	before := clock.Now()
@@ -42,9 +42,9 @@
 	qt.Assert(t, after > before, qt.IsTrue)
 }
 
-// One VM boots with its clock an hour ahead. If the others followed it, every
-// event of the fleet would be stamped an hour late; if they ignored all peers,
-// a receipt could stand before its sending.
+// A VM boots with its clock an hour ahead. If the others followed its clock, every
+// event of the fleet would be stamped an hour late. If they ignored all peers, the
+// receipt of a message could come before its sending.
 func TestClockFollowsPeersWithinBound(t *testing.T) {
 	wall := newWall()
 	clock := NewClock(wall.now)
@@ -75,9 +75,9 @@
 	qt.Assert(t, slices.Compact(all), qt.HasLen, writers*each)
 }
 
-// A burst records more events than the ring holds. An operator who reads the
-// time line afterwards must see that it is not whole, and from when on it is.
-func TestRingIsBoundedAndSaysWhatItLost(t *testing.T) {
+// A burst records more events than the ring can hold. The time line must then show
+// that it is incomplete, and from which stamp on it is complete.
+func TestRingIsBoundedAndReportsDroppedEvents(t *testing.T) {
 	wall := newWall()
 	ring := NewRing("a1", NewClock(wall.now), 256)
 	const recorded = 1000
@@ -119,8 +119,8 @@
 	qt.Assert(t, ring.Read(Query{Limit: 3}).Events, qt.DeepEquals, all[17:])
 }
 
-// A target answers with bytes that are no text, or with a page of it. The event
-// must neither grow the ring's memory nor keep the page from being encoded.
+// A target answers with invalid UTF-8, or with a very long text. The event must
+// neither increase the ring's memory nor prevent the encoding of a page.
 func TestRingBoundsCause(t *testing.T) {
 	ring := NewRing("a1", NewClock(nil), 0)
 	ring.Record(Event{Kind: TaskEnded, Cause: strings.Repeat("é", 4000)})
@@ -130,8 +130,8 @@
 	qt.Assert(t, events[1].Cause, qt.Equals, "a?b")
 }
 
-// BenchmarkRecord gives the cost of one event from all cores at once, with the
-// ring and without.
+// BenchmarkRecord measures the cost of an event recorded from all cores at once, with
+// and without the ring.
 func BenchmarkRecord(b *testing.B) {
 	sinks := map[string]Sink{"off": Discard{}, "on": NewRing("a1", NewClock(nil), 0)}
 	for _, name := range []string{"off", "on"} {
@@ -147,7 +147,7 @@
 	}
 }
 
-// BenchmarkRead gives the cost of reading one submission out of a full ring.
+// BenchmarkRead measures the cost of reading one submission from a full ring.
 func BenchmarkRead(b *testing.B) {
 	ring := NewRing("a1", NewClock(nil), 0)
 	for range 2 * DefaultRingEvents {
--- a/internal/timeline/sentence.go
+++ b/internal/timeline/sentence.go
@@ -6,12 +6,12 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// reasonTexts says each reason as a statement. docs/OPERATIONS.md says what to
-// do about it.
+// reasonTexts states each reason in words. docs/OPERATIONS.md says what to do about
+// each.
 var reasonTexts = map[job.Reason]string{
 	job.Malformed:       "the request could not be read",
-	job.UnknownService:  "the configuration in force names no such service",
-	job.UnknownTeam:     "the configuration in force names no such team",
+	job.UnknownService:  "the configuration in force has no such service",
+	job.UnknownTeam:     "the configuration in force has no such team",
 	job.IDReused:        "the same id was used before with other content",
 	job.TooLarge:        "the job's payload is above the limit",
 	job.TooManyTasks:    "the job has more tasks than the limit",
@@ -32,14 +32,14 @@
 	job.TargetRefused:   "the target refused it before starting",
 	job.HolderLost:      "the entry that holds the targets was lost",
 	job.OwnerLost:       "the entry that owned it was lost",
-	job.ZoneUnreachable: "the other availability zone can't be asked",
+	job.ZoneUnreachable: "the other availability zone is unreachable",
 	job.NoRegistrar:     "no registrar could record who owns it",
-	job.NotKept:         "it could not be kept as its service demands",
+	job.NotKept:         "it could not be stored as its service requires",
 	job.SiblingFailed:   "another task of the job had already failed",
 	job.Internal:        "an internal error",
 }
 
-// ReasonText returns the statement of a reason, or the reason itself.
+// ReasonText returns the reason in words, or the reason itself if it has no text.
 func ReasonText(r job.Reason) string {
 	if text := reasonTexts[r]; text != "" {
 		return text
@@ -47,44 +47,44 @@
 	return string(r)
 }
 
-// why joins the reason's statement and the recorded cause.
-func why(ev *Event) string {
+// reasonAndCause returns the reason in words followed by the recorded cause.
+func reasonAndCause(ev *Event) string {
 	switch {
 	case ev.Reason == "":
-		return because(ev.Cause)
+		return causeText(ev.Cause)
 	case ev.Reason == Late:
-		return ", late" + because(ev.Cause)
+		return ", late" + causeText(ev.Cause)
 	case ev.Cause == "":
 		return fmt.Sprintf(", because %s (%s)", ReasonText(ev.Reason), ev.Reason)
 	}
 	return fmt.Sprintf(", because %s (%s): %s", ReasonText(ev.Reason), ev.Reason, ev.Cause)
 }
 
-// sentence tells one event.
+// sentence describes one event.
 func sentence(ev *Event) string {
 	switch ev.Kind {
 	case SubmissionReceived:
-		return fmt.Sprintf("received from its caller%s%s", tasks(ev.Count), why(ev))
+		return fmt.Sprintf("received from its caller%s%s", withTasks(ev.Count), reasonAndCause(ev))
 	case SubmissionJoined:
-		return fmt.Sprintf("joined with the same submission%s, which keeps its place%s", ownedBy(ev.Peer), why(ev))
+		return fmt.Sprintf("joined with the same submission%s, which keeps its place%s", ownedBy(ev.Peer), reasonAndCause(ev))
 	case SubmissionTaken:
-		return fmt.Sprintf("taken over%s; tasks that may have started never start again%s", from(ev.Peer), why(ev))
+		return fmt.Sprintf("taken over%s; tasks that may have started never start again%s", fromLostEntry(ev.Peer), reasonAndCause(ev))
 	case SubmissionAdmitted:
-		return fmt.Sprintf("admitted%s; entry %s owns it%s", tasks(ev.Count), ev.Entry, why(ev))
+		return fmt.Sprintf("admitted%s; entry %s owns it%s", withTasks(ev.Count), ev.Entry, reasonAndCause(ev))
 	case SubmissionRefused:
-		return fmt.Sprintf("refused, nothing ran%s", why(ev))
+		return fmt.Sprintf("refused, nothing ran%s", reasonAndCause(ev))
 	case SubmissionAnswered:
-		return fmt.Sprintf("answered%s%s", after(ev), why(ev))
+		return fmt.Sprintf("answered%s%s", afterTook(ev), reasonAndCause(ev))
 	case BatchOffered:
-		return fmt.Sprintf("%s handed to holder %s%s%s", batch(ev), ev.Peer, after(ev), why(ev))
+		return fmt.Sprintf("%s handed to holder %s%s%s", batchIs(ev), ev.Peer, afterTook(ev), reasonAndCause(ev))
 	case BatchReceived:
-		return fmt.Sprintf("%s taken from owner %s%s", batch(ev), ev.Peer, why(ev))
+		return fmt.Sprintf("%s taken from owner %s%s", batchIs(ev), ev.Peer, reasonAndCause(ev))
 	case BatchLost:
-		return fmt.Sprintf("%s lost with holder %s%s%s", batch(ev), ev.Peer, after(ev), why(ev))
+		return fmt.Sprintf("%s lost with holder %s%s%s", batchIs(ev), ev.Peer, afterTook(ev), reasonAndCause(ev))
 	case BatchAwaited:
-		return fmt.Sprintf("%s still with holder %s when the submission ended%s%s", batch(ev), ev.Peer, after(ev), why(ev))
+		return fmt.Sprintf("%s still with holder %s when the submission ended%s%s", batchIs(ev), ev.Peer, afterTook(ev), reasonAndCause(ev))
 	case BatchReported:
-		return fmt.Sprintf("%s reported to owner %s%s%s", batch(ev), ev.Peer, after(ev), why(ev))
+		return fmt.Sprintf("%s reported to owner %s%s%s", batchIs(ev), ev.Peer, afterTook(ev), reasonAndCause(ev))
 	}
 	if ev.HasTask() {
 		return taskSentence(ev)
@@ -95,9 +95,9 @@
 		if ev.Peer != "" && ev.Peer != ev.Entry {
 			owner = " for owner " + string(ev.Peer)
 		}
-		return fmt.Sprintf("%s queued%s%s", counted(ev.Count), owner, why(ev))
+		return fmt.Sprintf("%s queued%s%s", tasksAre(ev.Count), owner, reasonAndCause(ev))
 	case TaskDropped:
-		return fmt.Sprintf("%s dropped before any start%s", counted(ev.Count), why(ev))
+		return fmt.Sprintf("%s dropped before any start%s", tasksAre(ev.Count), reasonAndCause(ev))
 	}
 	return fleetSentence(ev)
 }
@@ -105,38 +105,39 @@
 func taskSentence(ev *Event) string {
 	switch ev.Kind {
 	case TaskQueued:
-		return fmt.Sprintf("task %d waits%s", ev.Task, why(ev))
+		return fmt.Sprintf("task %d waits%s", ev.Task, reasonAndCause(ev))
 	case TaskStarted:
 		waited := ""
 		if ev.Took > 0 {
 			waited = fmt.Sprintf(" after a wait of %s", round(ev.Took))
 		}
-		return fmt.Sprintf("task %d starts on target %s%s%s%s", ev.Task, ev.Target, beside(ev.Count), waited, why(ev))
+		return fmt.Sprintf("task %d starts on target %s%s%s%s", ev.Task, ev.Target, concurrentTasks(ev.Count), waited, reasonAndCause(ev))
 	case TaskEnded:
 		if ev.Reason != "" {
-			return fmt.Sprintf("task %d has no result%s%s%s", ev.Task, onTarget(ev), after(ev), why(ev))
+			return fmt.Sprintf("task %d has no result%s%s%s", ev.Task, fromTarget(ev), afterTook(ev), reasonAndCause(ev))
 		}
-		return fmt.Sprintf("task %d ends on target %s%s%s", ev.Task, ev.Target, after(ev), why(ev))
+		return fmt.Sprintf("task %d ends on target %s%s%s", ev.Task, ev.Target, afterTook(ev), reasonAndCause(ev))
 	case TaskSuspect:
 		if ev.Reason != "" {
-			return fmt.Sprintf("task %d is given up%s%s", ev.Task, onTarget(ev), why(ev))
+			return fmt.Sprintf("task %d is given up%s%s", ev.Task, fromTarget(ev), reasonAndCause(ev))
 		}
-		return fmt.Sprintf("task %d may have brought its target down and runs alone from now on%s%s", ev.Task, onTarget(ev), why(ev))
+		return fmt.Sprintf("task %d may have crashed its target and runs alone from now on%s%s", ev.Task, fromTarget(ev), reasonAndCause(ev))
 	case TaskRetried:
-		return fmt.Sprintf("task %d goes back to the queue%s%s", ev.Task, onTarget(ev), why(ev))
+		return fmt.Sprintf("task %d goes back to the queue%s%s", ev.Task, fromTarget(ev), reasonAndCause(ev))
 	}
-	return fmt.Sprintf("task %d is dropped before any start%s", ev.Task, why(ev))
+	return fmt.Sprintf("task %d is dropped before any start%s", ev.Task, reasonAndCause(ev))
 }
 
-// fleetTexts are the events that no submission owns; %s is what they are about.
+// fleetTexts describe the events that belong to no submission. %s stands for the
+// subject of the event.
 var fleetTexts = map[Kind]string{
 	TargetAnnounced:    "target %s announces itself",
-	TargetLeaving:      "target %s is leaving and gets no new work",
-	TargetLapsed:       "the lease of target %s lapsed",
+	TargetLeaving:      "target %s is stopping and gets no new work",
+	TargetLapsed:       "the lease of target %s expired",
 	TargetSuspect:      "target %s is suspected and gets only probes",
 	TargetHealthy:      "target %s is healthy again",
-	TargetTaken:        "this entry gives target %s its orders from now on",
-	TargetYielded:      "this entry gives target %s up to another one, and its runs there are over",
+	TargetTaken:        "this entry now controls target %s",
+	TargetYielded:      "this entry yields target %s to another one, and its runs there are over",
 	LeaseRunOut:        "the lease of the runs on target %s has run out",
 	VotersChanged:      "the voters change: %s votes",
 	EntryAlive:         "entry %s is alive",
@@ -154,11 +155,11 @@
 
 func fleetSentence(ev *Event) string {
 	if ev.Kind == HolderChanged {
-		return fmt.Sprintf("target %s goes to holder %s%s", ev.Target, ev.Peer, why(ev))
+		return fmt.Sprintf("target %s goes to holder %s%s", ev.Target, ev.Peer, reasonAndCause(ev))
 	}
 	text, ok := fleetTexts[ev.Kind]
 	if !ok {
-		return string(ev.Kind) + why(ev)
+		return string(ev.Kind) + reasonAndCause(ev)
 	}
 	subject := string(ev.Peer)
 	switch ev.Kind {
@@ -172,10 +173,10 @@
 			subject = fmt.Sprintf(", number %d", ev.Count)
 		}
 	}
-	return fmt.Sprintf(text, subject) + why(ev)
+	return fmt.Sprintf(text, subject) + reasonAndCause(ev)
 }
 
-func tasks(n int) string {
+func withTasks(n int) string {
 	switch n {
 	case 0:
 		return ""
@@ -185,16 +186,16 @@
 	return fmt.Sprintf(" with %d tasks", n)
 }
 
-func counted(n int) string {
+func tasksAre(n int) string {
 	if n == 1 {
 		return "1 task is"
 	}
 	return fmt.Sprintf("%d tasks are", n)
 }
 
-// beside says how many other tasks ran on the target at a start; count takes
-// the started one in.
-func beside(count int) string {
+// concurrentTasks says how many other tasks ran on the target at a start. The count
+// includes the started one.
+func concurrentTasks(count int) string {
 	switch {
 	case count <= 1:
 		return ""
@@ -204,7 +205,7 @@
 	return fmt.Sprintf(" beside %d other tasks", count-1)
 }
 
-func batch(ev *Event) string {
+func batchIs(ev *Event) string {
 	switch ev.Count {
 	case 0:
 		return "a batch is"
@@ -214,14 +215,14 @@
 	return fmt.Sprintf("a batch of %d tasks is", ev.Count)
 }
 
-func after(ev *Event) string {
+func afterTook(ev *Event) string {
 	if ev.Took <= 0 {
 		return ""
 	}
 	return fmt.Sprintf(" after %s", round(ev.Took))
 }
 
-func onTarget(ev *Event) string {
+func fromTarget(ev *Event) string {
 	if ev.Target == "" {
 		return ""
 	}
@@ -235,7 +236,7 @@
 	return fmt.Sprintf(" owned by entry %s", id)
 }
 
-func from(id job.EntryID) string {
+func fromLostEntry(id job.EntryID) string {
 	if id == "" {
 		return ""
 	}
--- a/internal/timeline/svg.go
+++ b/internal/timeline/svg.go
@@ -15,67 +15,67 @@
 
 // Sizes of the picture in pixels.
 const (
-	svgWidth  = 1200
-	svgMargin = 150
-	svgTop    = 60
-	svgLane   = 46
-	svgBar    = 10
-	// svgTargets bounds the lanes of targets: a job of 1,900 tasks may touch
-	// hundreds, which nobody can read.
-	svgTargets = 40
+	svgWidth      = 1200
+	svgMargin     = 150
+	svgTop        = 60
+	svgLaneHeight = 46
+	svgBarHeight  = 10
+	// svgMaxTargets bounds the lanes of targets. A job of 1,900 tasks may use hundreds
+	// of targets, and a picture of that size is unreadable.
+	svgMaxTargets = 40
 )
 
-// svgPicture is one submission across processes: a lane an entry, a lane a
-// target, time from left to right.
+// svgPicture draws one submission across processes. It has a lane for each entry and
+// each target, and time runs from left to right.
 type svgPicture struct {
-	out    strings.Builder
-	lanes  map[string]int
-	order  []string
-	start  time.Time
-	span   time.Duration
-	events []Event
-	more   int
+	out             strings.Builder
+	lanes           map[string]int
+	order           []string
+	start           time.Time
+	span            time.Duration
+	events          []Event
+	targetsNotDrawn int
 }
 
-// WriteSVG draws one submission of the time line.
+// WriteSVG writes a picture of one submission of the time line.
 func WriteSVG(w io.Writer, t Timeline, id job.ID) error {
 	p := &svgPicture{lanes: map[string]int{}, events: t.Of(id)}
 	if len(p.events) == 0 {
 		return errors.NotFoundf("submission %s in the time line", id)
 	}
-	p.layOut()
-	p.head(id)
+	p.assignLanes()
+	p.writeHeader(id)
 	p.drawLanes()
 	p.drawTasks()
 	p.drawMessages()
 	p.drawEvents()
-	p.foot(t)
+	p.writeFooter(t)
 	_, err := io.WriteString(w, p.out.String())
 	return errors.Trace(err)
 }
 
-func (p *svgPicture) layOut() {
+func (p *svgPicture) assignLanes() {
 	p.start = p.events[0].Stamp.Time()
 	p.span = max(p.events[len(p.events)-1].Stamp.Time().Sub(p.start), time.Millisecond)
 	var targets []string
 	for i := range p.events {
 		ev := &p.events[i]
-		p.lane("entry " + string(ev.Entry))
+		p.addLane("entry " + string(ev.Entry))
 		if ev.HasTask() && ev.Target != "" && !slices.Contains(targets, string(ev.Target)) {
 			targets = append(targets, string(ev.Target))
 		}
 	}
 	slices.Sort(targets)
-	if len(targets) > svgTargets {
-		p.more = len(targets) - svgTargets
-		targets = targets[:svgTargets]
+	if len(targets) > svgMaxTargets {
+		p.targetsNotDrawn = len(targets) - svgMaxTargets
+		targets = targets[:svgMaxTargets]
 	}
 	for _, id := range targets {
-		p.lane("target " + id)
+		p.addLane("target " + id)
 	}
 }
 
-func (p *svgPicture) lane(name string) {
+func (p *svgPicture) addLane(name string) {
 	if _, ok := p.lanes[name]; ok {
 		return
 	}
@@ -88,13 +88,13 @@
 	return svgMargin + int(int64(usable)*int64(t.Sub(p.start))/int64(p.span))
 }
 
-func (p *svgPicture) y(lane int) int { return svgTop + lane*svgLane + svgLane/2 }
+func (p *svgPicture) y(lane int) int { return svgTop + lane*svgLaneHeight + svgLaneHeight/2 }
 
-func (p *svgPicture) height() int { return svgTop + len(p.order)*svgLane + 60 }
+func (p *svgPicture) height() int { return svgTop + len(p.order)*svgLaneHeight + 60 }
 
 func (p *svgPicture) printf(format string, args ...any) { fmt.Fprintf(&p.out, format, args...) }
 
-func (p *svgPicture) head(id job.ID) {
+func (p *svgPicture) writeHeader(id job.ID) {
 	p.printf(`<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="12">`+"\n", svgWidth, p.height())
 	p.printf(`<rect width="100%%" height="100%%" fill="white"/>` + "\n")
 	p.printf(`<text x="10" y="24" font-size="16">submission %s, %s over %d lanes</text>`+"\n", html.EscapeString(string(id)), p.span, len(p.order))
@@ -113,7 +113,7 @@
 	}
 }
 
-// drawTasks draws each task as a bar on its target from start to end.
+// drawTasks draws each task as a bar on the lane of its target, from start to end.
 func (p *svgPicture) drawTasks() {
 	for i := range p.events {
 		ev := &p.events[i]
@@ -128,7 +128,7 @@
 		}
 		x := p.x(ev.Stamp.Time())
 		p.printf(`<rect x="%d" y="%d" width="%d" height="%d" fill="%s" fill-opacity="0.5"><title>task %d</title></rect>`+"\n",
-			x, p.y(lane)-svgBar/2, max(p.x(end)-x, 2), svgBar, colour, ev.Task)
+			x, p.y(lane)-svgBarHeight/2, max(p.x(end)-x, 2), svgBarHeight, colour, ev.Task)
 	}
 }
 
@@ -143,7 +143,7 @@
 	return p.events[len(p.events)-1].Stamp.Time(), true
 }
 
-// drawMessages draws an arrow from each message sent to its receipt.
+// drawMessages draws a line from the sending of each message to its receipt.
 func (p *svgPicture) drawMessages() {
 	for i := range p.events {
 		ev := &p.events[i]
@@ -188,14 +188,14 @@
 	}
 }
 
-func (p *svgPicture) foot(t Timeline) {
-	y := svgTop + len(p.order)*svgLane + 20
-	if p.more > 0 {
-		p.printf(`<text x="10" y="%d" fill="#d0433a">%d more targets are not drawn</text>`+"\n", y, p.more)
+func (p *svgPicture) writeFooter(t Timeline) {
+	y := svgTop + len(p.order)*svgLaneHeight + 20
+	if p.targetsNotDrawn > 0 {
+		p.printf(`<text x="10" y="%d" fill="#d0433a">%d more targets are not drawn</text>`+"\n", y, p.targetsNotDrawn)
 		y += 16
 	}
 	var story Story
-	t.missing(&story, p.events[0].Stamp)
+	t.addMissing(&story, p.events[0].Stamp)
 	for _, m := range story.Missing {
 		p.printf(`<text x="10" y="%d" fill="#d0433a">missing: %s</text>`+"\n", y, html.EscapeString(m))
 		y += 16
--- a/internal/timeline/write.go
+++ b/internal/timeline/write.go
@@ -15,7 +15,7 @@
 	return s.Time().UTC().Format("15:04:05.000")
 }
 
-// WriteText writes one line an event for people, then what is missing.
+// WriteText writes one readable line for each event, then what is missing.
 func WriteText(w io.Writer, t Timeline) error {
 	for i := range t.Events {
 		ev := &t.Events[i]
@@ -32,7 +32,7 @@
 
 func writeMissing(w io.Writer, t Timeline) error {
 	var story Story
-	t.missing(&story, 0)
+	t.addMissing(&story, 0)
 	for _, m := range story.Missing {
 		if _, err := fmt.Fprintf(w, "missing: %s\n", m); err != nil {
 			return errors.Trace(err)
@@ -41,22 +41,22 @@
 	return nil
 }
 
-// Missing is the last JSON line of a time line that is not whole.
+// Missing is the last JSON line of an incomplete time line.
 type Missing struct {
 	Unreachable []job.EntryID `json:"unreachable,omitempty"`
 	Gaps        []Gap         `json:"gaps,omitempty"`
 	Skewed      []Skew        `json:"skewed,omitempty"`
 }
 
-// jsonEvent adds the wall clock to an event, for programs that do not know
+// jsonEvent adds the wall-clock time to an event, for programs that do not decode
 // stamps.
 type jsonEvent struct {
 	Time time.Time `json:"time"`
 	Event
 }
 
-// WriteJSONLines writes one JSON object an event and, when something is
-// missing, one Missing object.
+// WriteJSONLines writes one JSON object for each event and, if something is missing,
+// one Missing object.
 func WriteJSONLines(w io.Writer, t Timeline) error {
 	enc := json.NewEncoder(w)
 	for i := range t.Events {
@@ -70,7 +70,7 @@
 	return errors.Trace(enc.Encode(Missing{t.Unreachable, t.Gaps, t.Skewed}))
 }
 
-// WriteStory writes the story of one submission for people.
+// WriteStory writes the story of one submission as readable text.
 func WriteStory(w io.Writer, s Story) error {
 	if !s.Found {
 		if _, err := fmt.Fprintf(w, "submission %s: no reached entry holds an event of it\n", s.Submission); err != nil {
