--- a/internal/status/messages.go
+++ b/internal/status/messages.go
@@ -6,16 +6,16 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 )
 
-// Traffic is what one entry sent of one kind of message. Received ones are left
-// out, so that the sum over all entries counts each message once.
+// Traffic counts the messages of one kind that an entry sent. Received messages are
+// not counted, so that the sum over all entries counts each message once.
 type Traffic struct {
 	Kind     peer.Kind
 	Messages uint64
 	Bytes    uint64
 }
 
-// MessageVars sets the counters of useful and wasted messages and bytes, by
-// kind, in vars. Useful ones carry a task, a result or an answer.
+// MessageVars publishes the counters of useful and wasted messages and bytes, by kind,
+// in vars. Useful messages carry a task, a result or an answer.
 func MessageVars(vars *expvar.Map, read func() []Traffic) {
 	messages := func(t *Traffic) uint64 { return t.Messages }
 	bytes := func(t *Traffic) uint64 { return t.Bytes }
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,5 +1,5 @@
-// Package status is what one entry says of itself and of what it knows of the
-// fleet, and whether that is healthy.
+// Package status reports the state of one entry, what it knows of the fleet, and
+// whether that state is healthy.
 package status
 
 import (
@@ -11,14 +11,14 @@
 	"github.com/vanillagrade/vanillagrade/internal/scheduler"
 )
 
-// Status is the state of one entry as operators read it.
+// Status is the state of one entry as shown to operators.
 type Status struct {
 	Entry       job.EntryID     `json:"entry"`
 	Zone        job.Zone        `json:"availability_zone"`
 	Incarnation job.Incarnation `json:"incarnation"`
 	Version     string          `json:"version"`
 	Healthy     bool            `json:"healthy"`
-	// Why says what is not as it should be, one sentence each.
+	// Why lists the problems that make the entry unhealthy, one sentence each.
 	Why           []string              `json:"why,omitempty"`
 	Draining      bool                  `json:"draining"`
 	Running       int                   `json:"running_submissions"`
@@ -30,11 +30,11 @@
 	Queues        []Queue               `json:"queues"`
 	Outcomes      map[string]uint64     `json:"outcomes"`
 	Refusals      map[job.Reason]uint64 `json:"refusals_by_reason"`
-	// ClockRejections counts peers' clock readings too far ahead to follow.
+	// ClockRejections counts the timestamps of peers that were too far ahead to follow.
 	ClockRejections uint64 `json:"clock_rejections,omitempty"`
 }
 
-// MemberState is what this entry holds of another one.
+// MemberState is the state of an entry as seen by this one.
 type MemberState string
 
 // The states of a member.
@@ -45,14 +45,14 @@
 	Left    MemberState = "left"
 )
 
-// Member is one entry of the fleet as this entry sees it.
+// Member is an entry of the fleet as seen by this one.
 type Member struct {
 	Entry job.EntryID `json:"entry"`
 	Zone  job.Zone    `json:"availability_zone"`
 	State MemberState `json:"state"`
 }
 
-// Target is one target that this entry holds.
+// Target is a target that this entry holds.
 type Target struct {
 	ID      job.TargetID `json:"id"`
 	Pool    string       `json:"pool"`
@@ -61,41 +61,42 @@
 	State   string       `json:"state"`
 	Slots   int          `json:"slots"`
 	Running int          `json:"running"`
-	// Slowness is how many times longer than expected its tasks take.
+	// Slowness is the ratio of the actual to the expected run time of its tasks.
 	Slowness float64 `json:"slowness"`
 }
 
-// Voter is one entry that agrees on configurations.
+// Voter is an entry that votes on configurations.
 type Voter struct {
 	Entry job.EntryID `json:"entry"`
 	State MemberState `json:"state"`
 }
 
-// Configuration is the file in force.
+// Configuration describes the configuration file in effect.
 type Configuration struct {
 	Number uint64 `json:"number"`
 	Digest string `json:"digest"`
-	// Since is when it came into force at this entry.
+	// Since is when the configuration took effect at this entry.
 	Since time.Time `json:"since,omitzero"`
-	// Stale says that this entry can't know whether a newer one was accepted,
-	// and StaleSince from when on.
+	// Stale means that this entry can't know whether a newer configuration was
+	// accepted. StaleSince is when this began.
 	Stale      bool      `json:"stale"`
 	StaleSince time.Time `json:"stale_since,omitzero"`
-	// Problem says why this entry's disk does not take part in agreeing on it.
+	// Problem is the disk problem that keeps this entry from voting on configurations.
 	Problem string `json:"problem,omitempty"`
 }
 
-// Queue is the waiting work of one pool at this entry.
+// Queue describes the waiting and running tasks of one pool at this entry.
 type Queue struct {
 	Pool    string `json:"pool"`
 	Slots   int    `json:"slots"`
 	Running int    `json:"running"`
-	// Queued counts waiting tasks by urgency class, and by team.
+	// Queued counts the waiting tasks by urgency class, Teams by team.
 	Queued map[string]int `json:"queued"`
 	Teams  map[string]int `json:"teams,omitempty"`
 }
 
-// Sources are where a status comes from. A nil one leaves its part out.
+// Sources are the functions that a status is read from. A nil function leaves its part
+// of the status empty.
 type Sources struct {
 	Self          job.Owner
 	Version       string
@@ -107,23 +108,23 @@
 	Voters        func() []job.EntryID
 	Configuration func() Configuration
 	Outcomes      func() (map[job.Outcome]uint64, map[job.Reason]uint64)
-	// Wanted names the pools that the configuration in force needs.
+	// Wanted returns the pools that the configuration in effect needs.
 	Wanted          func() []string
 	ClockRejections func() uint64
 }
 
-// Read builds the status now.
+// Read returns the current status.
 func (s *Sources) Read() Status {
 	st := Status{
 		Entry: s.Self.Entry, Zone: s.Self.Zone, Incarnation: s.Self.Incarnation, Version: s.Version,
-		Draining: call(s.Draining), Running: call(s.Running), Members: call(s.Members),
-		Holders: call(s.Holders), Configuration: call(s.Configuration),
-		ClockRejections: call(s.ClockRejections),
+		Draining: callOrZero(s.Draining), Running: callOrZero(s.Running), Members: callOrZero(s.Members),
+		Holders: callOrZero(s.Holders), Configuration: callOrZero(s.Configuration),
+		ClockRejections: callOrZero(s.ClockRejections),
 	}
-	for _, pool := range call(s.Pools) {
+	for _, pool := range callOrZero(s.Pools) {
 		st.addPool(&pool)
 	}
-	for _, voter := range call(s.Voters) {
+	for _, voter := range callOrZero(s.Voters) {
 		st.Voters = append(st.Voters, Voter{Entry: voter, State: st.stateOf(voter)})
 	}
 	if s.Outcomes != nil {
@@ -134,12 +135,12 @@
 		}
 		st.Refusals = reasons
 	}
-	st.Why = judge(&st, call(s.Wanted))
+	st.Why = findProblems(&st, callOrZero(s.Wanted))
 	st.Healthy = len(st.Why) == 0
 	return st
 }
 
-func call[T any](f func() T) T {
+func callOrZero[T any](f func() T) T {
 	if f == nil {
 		var zero T
 		return zero
@@ -180,58 +181,59 @@
 	return Dead
 }
 
-// quarantined is the state of a target that gets only probes.
+// quarantined is the state of a target that receives only probes.
 const quarantined = "quarantined"
 
-// judge says what is not as it should be. A single failed target or a full
-// queue is ordinary; what is named here needs an operator, or will if it stays.
-func judge(st *Status, wanted []string) []string {
-	var why []string
-	say := func(format string, args ...any) { why = append(why, fmt.Sprintf(format, args...)) }
+// findProblems returns the problems of the entry, one sentence each. A single failed
+// target or a full queue is normal. The problems listed here need an operator, at once
+// or if they persist.
+func findProblems(st *Status, requiredPools []string) []string {
+	var problems []string
+	add := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
 	if st.Draining {
-		say("this entry is draining: it takes no new work")
+		add("this entry is draining: it takes no new work")
 	}
 	if st.Configuration.Number == 0 {
-		say("no configuration is in force: apply a first file")
+		add("no configuration is in force: apply a first file")
 	}
 	if st.Configuration.Stale {
-		say("the configuration may be stale since %s: no majority of the voters can be reached", st.Configuration.StaleSince.UTC().Format(time.RFC3339))
+		add("the configuration may be stale since %s: no majority of the voters can be reached", st.Configuration.StaleSince.UTC().Format(time.RFC3339))
 	}
 	if p := st.Configuration.Problem; p != "" {
-		say("this entry's disk does not vote on configurations: %s", p)
+		add("this entry's disk does not vote on configurations: %s", p)
 	}
 	for _, m := range st.Members {
 		switch m.State {
 		case Suspect, Dead:
-			say("entry %s in %s is %s", m.Entry, m.Zone, m.State)
+			add("entry %s in %s is %s", m.Entry, m.Zone, m.State)
 		case Alive, Left:
 		}
 	}
-	for _, pool := range wanted {
-		if st.slots(pool) == 0 {
-			say("no target of pool %s is announced at any entry known here", pool)
+	for _, pool := range requiredPools {
+		if st.poolSlots(pool) == 0 {
+			add("no target of pool %s is announced at any entry known here", pool)
 		}
 	}
 	for _, t := range st.Targets {
 		if t.State == quarantined {
-			say("target %s of pool %s is quarantined: it fails what it starts", t.ID, t.Pool)
+			add("target %s of pool %s is quarantined: its tasks fail", t.ID, t.Pool)
 		}
 	}
-	return why
+	return problems
 }
 
-// slots sums a pool's slots over all holders known here.
-func (st *Status) slots(pool string) int {
+// poolSlots returns the slots of a pool at all holders that this entry knows.
+func (st *Status) poolSlots(pool string) int {
 	sum := 0
-	own := false
+	selfIncluded := false
 	for i := range st.Holders {
 		if st.Holders[i].Pool != pool {
 			continue
 		}
 		sum += st.Holders[i].Slots
-		own = own || st.Holders[i].Entry == st.Entry
+		selfIncluded = selfIncluded || st.Holders[i].Entry == st.Entry
 	}
-	if own {
+	if selfIncluded {
 		return sum
 	}
 	for i := range st.Queues {
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -55,9 +55,9 @@
 	qt.Assert(t, back.Healthy, qt.IsTrue)
 }
 
-// Each of these stays unseen until callers complain, unless the status says so
-// in a sentence and a script sees it by the exit code.
-func TestStatusSaysWhatIsWrong(t *testing.T) {
+// Each of these problems goes unnoticed until callers complain, unless the status
+// reports it in a sentence and as unhealthy.
+func TestStatusReportsProblems(t *testing.T) {
 	since := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for want, change := range map[string]func(*Sources){
 		"this entry is draining: it takes no new work":             func(s *Sources) { s.Draining = func() bool { return true } },
@@ -70,7 +70,7 @@
 		"this entry's disk does not vote on configurations: no space": func(s *Sources) {
 			s.Configuration = func() Configuration { return Configuration{Number: 1, Problem: "no space"} }
 		},
-		"target w1 of pool p is quarantined: it fails what it starts": func(s *Sources) {
+		"target w1 of pool p is quarantined: its tasks fail": func(s *Sources) {
 			s.Pools = func() []scheduler.Stats {
 				return []scheduler.Stats{{Pool: "p", Slots: 8, Targets: []scheduler.TargetStats{{Target: job.Target{ID: "w1"}, State: quarantined}}}}
 			}
--- a/internal/status/write.go
+++ b/internal/status/write.go
@@ -14,17 +14,17 @@
 	"github.com/juju/errors"
 )
 
-// Handler serves GET /v1/status as JSON. The code is 200 also when the entry
-// is not healthy: the answer itself says so.
+// Handler serves GET /v1/status as JSON. The status code is 200 even if the entry is
+// unhealthy, since the body says so.
 func Handler(read func() Status) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// A failed write means that the operator has gone.
+		// A write fails only if the client has disconnected.
 		_ = json.NewEncoder(w).Encode(read())
 	})
 }
 
-// WriteText writes the status for people.
+// WriteText writes the status as readable text.
 func WriteText(w io.Writer, st *Status) error {
 	var out strings.Builder
 	health := "healthy"
