--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics counts what a process decides and how long it takes, and shows it
-// as text on the metrics address. It is fed by the same events as the log and the
-// time line, so that a figure and the lines behind it have one source.
+// Package metrics counts the events of a process, measures durations, and serves both
+// as text on the metrics address. It receives the same events as the log and the time
+// line, so that a metric and the log lines behind it have one source.
 package metrics
 
 import (
@@ -13,28 +13,28 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// Path is where the figures are shown.
+// Path is the URL path of the metrics.
 const Path = "/metrics"
 
-// Sink counts events and hands them on.
+// Sink counts events and forwards them to the next sink.
 type Sink struct {
 	next timeline.Sink
 	set  *metrics.Set
 
-	mu       sync.RWMutex
-	counters map[key]*metrics.Counter
-	times    map[timeline.Kind]*metrics.Histogram
-	stretch  *metrics.Histogram
+	mu        sync.RWMutex
+	counters  map[counterKey]*metrics.Counter
+	durations map[timeline.Kind]*metrics.Histogram
+	stretch   *metrics.Histogram
 }
 
-// key names one counter.
-type key struct {
+// counterKey identifies a counter.
+type counterKey struct {
 	kind   timeline.Kind
 	reason string
 }
 
-// timed are the events whose duration is kept, with the name of the histogram.
-var timed = map[timeline.Kind]string{
+// histogramNames maps each event kind whose duration is measured to its histogram.
+var histogramNames = map[timeline.Kind]string{
 	timeline.SubmissionAnswered: "vanillagrade_answer_seconds",
 	timeline.TaskStarted:        "vanillagrade_task_queue_seconds",
 	timeline.BatchOffered:       "vanillagrade_placement_seconds",
@@ -44,15 +44,15 @@
 	timeline.ConfigurationSet:   "vanillagrade_configuration_seconds",
 }
 
-// stretchName is the histogram of how many times longer than the work itself complete
-// answers took.
+// stretchName is the name of the histogram of the stretch of complete answers: the time
+// to the answer divided by the declared duration of the work itself.
 const stretchName = "vanillagrade_answer_stretch"
 
-// New returns a sink without figures.
+// New returns a sink that forwards events to next, with all counters at zero.
 func New(next timeline.Sink) *Sink {
-	s := &Sink{next: next, set: metrics.NewSet(), counters: map[key]*metrics.Counter{}, times: map[timeline.Kind]*metrics.Histogram{}}
-	for kind, name := range timed {
-		s.times[kind] = s.set.NewHistogram(name)
+	s := &Sink{next: next, set: metrics.NewSet(), counters: map[counterKey]*metrics.Counter{}, durations: map[timeline.Kind]*metrics.Histogram{}}
+	for kind, name := range histogramNames {
+		s.durations[kind] = s.set.NewHistogram(name)
 	}
 	s.stretch = s.set.NewHistogram(stretchName)
 	return s
@@ -60,8 +60,8 @@
 
 // Record implements timeline.Sink.
 func (s *Sink) Record(ev timeline.Event) {
-	s.counter(key{ev.Kind, string(ev.Reason)}).Inc()
-	if h := s.times[ev.Kind]; h != nil && ev.Took > 0 {
+	s.counter(counterKey{ev.Kind, string(ev.Reason)}).Inc()
+	if h := s.durations[ev.Kind]; h != nil && ev.Took > 0 {
 		h.Update(ev.Took.Seconds())
 	}
 	if ev.Kind == timeline.SubmissionAnswered && complete(&ev) && ev.Ideal > 0 {
@@ -73,11 +73,11 @@
 	s.next.Record(ev)
 }
 
-// complete reports whether an answer is whole. The others would show refusals as the
-// quickest work.
+// complete reports whether an answer is complete. Other answers are not measured, since
+// refusals would appear as the fastest work.
 func complete(ev *timeline.Event) bool { return ev.Reason == "" || ev.Reason == timeline.Late }
 
-func (s *Sink) counter(k key) *metrics.Counter {
+func (s *Sink) counter(k counterKey) *metrics.Counter {
 	s.mu.RLock()
 	c := s.counters[k]
 	s.mu.RUnlock()
@@ -93,10 +93,10 @@
 	return c
 }
 
-// Gauge shows what read returns at each look.
+// Gauge registers a gauge that calls read whenever the metrics are read.
 func (s *Sink) Gauge(name string, read func() float64) { s.set.NewGauge(name, read) }
 
-// Handler shows the figures as text.
+// Handler serves the metrics as text.
 func (s *Sink) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -12,9 +12,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// Whoever is on call reads how many requests were refused, why, and how long the
-// others took, from the text alone.
-func TestTextShowsWhatWasDecided(t *testing.T) {
+// The text must show how many requests were refused, for which reasons, and how long
+// the others took.
+func TestTextShowsCountersAndGauges(t *testing.T) {
 	s := New(timeline.Discard{})
 	s.Gauge("vanillagrade_configuration", func() float64 { return 7 })
 	s.Record(timeline.Event{Kind: timeline.SubmissionRefused, Reason: job.Overloaded})
@@ -31,17 +31,17 @@
 	}
 }
 
-// counting is a sink that counts what is handed on.
-type counting int
+// countingSink counts the events that it receives.
+type countingSink int
 
-func (c *counting) Record(timeline.Event) { *c++ }
+func (c *countingSink) Record(timeline.Event) { *c++ }
 
-// Each step of a request has its times in the text, and answers also how many times
-// longer than the work itself they took; a refusal, which takes no time, must not make
-// the answers look quick. Renewals are counted and crowd no time line.
-func TestTextShowsTheTimesOfEachStep(t *testing.T) {
-	var kept counting
-	s := New(&kept)
+// The text must show the durations of each step of a request, and the stretch of the
+// answers. A refusal takes almost no time and must not lower the stretch. Renewals must
+// be counted but not forwarded to the time line.
+func TestTextShowsStepDurations(t *testing.T) {
+	var forwarded countingSink
+	s := New(&forwarded)
 	for _, kind := range []timeline.Kind{
 		timeline.BatchOffered, timeline.TaskStarted, timeline.RunAccepted, timeline.TaskEnded,
 		timeline.BatchReported, timeline.SubmissionAnswered, timeline.ConfigurationSet,
@@ -51,7 +51,7 @@
 	s.Record(timeline.Event{Kind: timeline.SubmissionAnswered, Took: 100 * time.Millisecond, Ideal: 25 * time.Millisecond, Reason: timeline.Late})
 	s.Record(timeline.Event{Kind: timeline.SubmissionAnswered, Took: time.Microsecond, Ideal: 25 * time.Millisecond, Reason: job.Overloaded})
 	s.Record(timeline.Event{Kind: timeline.LeaseRenewed})
-	qt.Assert(t, int(kept), qt.Equals, 8)
+	qt.Assert(t, int(forwarded), qt.Equals, 8)
 	w := httptest.NewRecorder()
 	s.Handler().ServeHTTP(w, httptest.NewRequest("GET", Path, nil))
 	for _, want := range []string{
