--- a/internal/malformed/malformed.go
+++ b/internal/malformed/malformed.go
@@ -1,10 +1,10 @@
-// Package malformed counts what others sent that can't be read or can't be meant,
-// and tells the log without a line for each.
+// Package malformed counts received messages that can't be decoded or make no sense,
+// and logs them at a limited rate.
 //
-// Load pattern: one writer of another version, or one that is broken, sends
-// hundreds of messages a second that can't be used. Passed over without a word,
-// nobody would find out why its targets get no work; with a line each, they would
-// push everything else out of the log and take processor time from the work.
+// A sender of another version, or a broken one, may send hundreds of unusable messages
+// per second. If they were ignored silently, nobody would find out why its targets get
+// no work. If each were logged, they would crowd everything else out of the log and take
+// processor time from the work.
 package malformed
 
 import (
@@ -13,74 +13,75 @@
 	"time"
 )
 
-// LogEvery is how often one kind is told at the most: often enough to be seen while
-// it goes on, and a line a kind each ten seconds takes nothing.
+// LogEvery is the minimum interval between log lines of one kind. A problem is seen
+// while it lasts, and one line of each kind every ten seconds costs next to nothing.
 const LogEvery = 10 * time.Second
 
-// Kind is what was malformed.
+// Kind is the kind of a malformed message.
 type Kind string
 
 // The kinds.
 const (
-	// Announcement is what a target says of itself, or its leaving.
+	// Announcement is a target's announcement of itself or of its withdrawal.
 	Announcement Kind = "announcement"
-	// Row is one line of a target's list of runs and ends.
+	// Row is one entry in a target's list of its running and ended tasks.
 	Row Kind = "row"
 )
 
-// Kinds lists them all, for figures.
+// Kinds lists all kinds, for metrics.
 var Kinds = []Kind{Announcement, Row}
 
-// Tally counts and tells. Its nil value does neither.
+// Tally counts and logs malformed messages. A nil Tally does neither.
 type Tally struct {
 	log *slog.Logger
 
 	mu    sync.Mutex
-	kinds map[Kind]*count
+	kinds map[Kind]*kindCount
 }
 
-// count is one kind's figures.
-type count struct {
-	total  uint64
-	untold uint64
-	told   time.Time
+// kindCount holds the counters of one kind.
+type kindCount struct {
+	total      uint64
+	suppressed uint64
+	lastLogged time.Time
 }
 
-// New returns a tally that tells log.
+// New returns a tally that writes to log.
 func New(log *slog.Logger) *Tally {
-	return &Tally{log: log, kinds: map[Kind]*count{}}
+	return &Tally{log: log, kinds: map[Kind]*kindCount{}}
 }
 
-// Note counts one message, and tells it unless one of its kind was told within
-// LogEvery; the next line says how many were not.
+// Note counts a malformed message. It also logs the message unless another one of the
+// kind was logged less than LogEvery ago. The next line of the kind says how many
+// messages were not logged.
 func (t *Tally) Note(now time.Time, kind Kind, err error) {
 	if t == nil {
 		return
 	}
-	untold, tell := t.count(now, kind)
-	if tell {
-		t.log.Warn("passed over what can't be used", "kind", string(kind), "error", err.Error(), "untold_before", untold)
+	suppressed, shouldLog := t.record(now, kind)
+	if shouldLog {
+		t.log.Warn("malformed input ignored", "kind", string(kind), "error", err.Error(), "untold_before", suppressed)
 	}
 }
 
-func (t *Tally) count(now time.Time, kind Kind) (untold uint64, tell bool) {
+func (t *Tally) record(now time.Time, kind Kind) (suppressed uint64, shouldLog bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.kinds[kind]
 	if c == nil {
-		c = &count{}
+		c = &kindCount{}
 		t.kinds[kind] = c
 	}
 	c.total++
-	if !c.told.IsZero() && now.Sub(c.told) < LogEvery {
-		c.untold++
+	if !c.lastLogged.IsZero() && now.Sub(c.lastLogged) < LogEvery {
+		c.suppressed++
 		return 0, false
 	}
-	untold, c.untold, c.told = c.untold, 0, now
-	return untold, true
+	suppressed, c.suppressed, c.lastLogged = c.suppressed, 0, now
+	return suppressed, true
 }
 
-// Total returns how many of a kind there were.
+// Total returns the number of malformed messages of a kind.
 func (t *Tally) Total(kind Kind) uint64 {
 	if t == nil {
 		return 0
--- a/internal/malformed/malformed_test.go
+++ b/internal/malformed/malformed_test.go
@@ -11,10 +11,9 @@
 	"github.com/juju/errors"
 )
 
-// A broken writer sends a thousand messages in ten seconds. Whoever is on call must
-// see from the log that there is one, what is wrong and how many there were, and
-// must not lose the other lines to it.
-func TestManyAreToldInFewLines(t *testing.T) {
+// A broken sender sends a thousand messages in ten seconds. The log must show that there
+// is one, what is wrong and how many messages there were, without losing other lines.
+func TestRepeatedMessagesAreLoggedRarely(t *testing.T) {
 	var text bytes.Buffer
 	tally := New(slog.New(slog.NewTextHandler(&text, nil)))
 	start := time.Unix(1000, 0)
@@ -31,8 +30,8 @@
 	qt.Assert(t, strings.Count(text.String(), "\n"), qt.Equals, 3)
 }
 
-// Parts that are built without a tally go on.
-func TestWithoutTally(t *testing.T) {
+// Components without a tally must work.
+func TestNilTallyIsUsable(t *testing.T) {
 	var none *Tally
 	none.Note(time.Now(), Row, errors.New("x"))
 	qt.Assert(t, none.Total(Row), qt.Equals, uint64(0))
