--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -9,7 +9,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Handler takes the links of peers; mount it on the peer listener.
+// Handler returns the HTTP handler that accepts links from peers. Mount it on
+// the peer listener.
 func (l *Links) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, l.accept)
@@ -19,10 +20,10 @@
 	return mux
 }
 
-// Server returns an HTTP server for the peer listener with its limits set: a
-// connection that never completes its request header is dropped, and the
-// header is small. Links outlive the server's time-outs since they are
-// hijacked; their own limits are silence and writeTimeout.
+// Server returns an HTTP server for the peer listener. It limits the size of
+// request headers and drops connections that never complete theirs. The
+// server's timeouts do not apply to links, whose connections are hijacked; links
+// are limited by Options.Silence and writeTimeout.
 func (l *Links) Server() *http.Server {
 	return &http.Server{
 		Handler: l.Handler(), ReadHeaderTimeout: readHeaderTimeout,
@@ -40,35 +41,36 @@
 		http.Error(w, "a peer secret is needed", http.StatusForbidden)
 		return
 	}
-	if l.unproven.Add(1) > maxHandshakes {
-		l.unproven.Add(-1)
+	if l.handshakes.Add(1) > maxHandshakes {
+		l.handshakes.Add(-1)
 		http.Error(w, "too many handshakes at once", http.StatusServiceUnavailable)
 		return
 	}
-	theirs, conn, err := l.prove(w, req)
-	l.unproven.Add(-1)
+	theirs, conn, err := l.authenticate(w, req)
+	l.handshakes.Add(-1)
 	switch {
-	case errors.Is(err, errDialledBack):
+	case errors.Is(err, errWillDialBack):
 		return
 	case err != nil:
 		l.log.Warn("peer refused", "address", req.RemoteAddr, "cause", err)
 		return
 	}
 	r := l.remote(theirs.Entry)
-	if r == nil { // it was forgotten during the handshake and dials again
+	if r == nil { // the peer was removed during the handshake and will dial again
 		_ = conn.CloseNow()
 		return
 	}
 	_ = l.serve(r, newLink(l, theirs, conn))
 }
 
-// prove takes the connection over and runs the handshake on it.
-func (l *Links) prove(w http.ResponseWriter, req *http.Request) (job.Owner, *websocket.Conn, error) {
+// authenticate upgrades the request to a WebSocket connection and runs the
+// handshake on it.
+func (l *Links) authenticate(w http.ResponseWriter, req *http.Request) (job.Owner, *websocket.Conn, error) {
 	conn, err := websocket.Accept(w, req, nil)
 	if err != nil {
 		return job.Owner{}, nil, errors.Trace(err)
 	}
-	theirs, err := acceptHandshake(req.Context(), conn, l.hello(""), l.opts.Secret, l.known)
+	theirs, err := acceptHandshake(req.Context(), conn, l.hello(""), l.opts.Secret, l.checkHello)
 	if err != nil {
 		_ = conn.CloseNow()
 		return job.Owner{}, nil, errors.Trace(err)
@@ -76,13 +78,13 @@
 	return theirs, conn, nil
 }
 
-// known checks the name that a dialling entry gives, and takes one in that is
-// new where entries find each other by themselves.
-func (l *Links) known(h hello) error {
+// checkHello checks the identity that a dialling entry claims. With
+// Options.Dynamic it adds entries that were not known before.
+func (l *Links) checkHello(h hello) error {
 	o := h.Owner
-	dialledBack := o.Entry > l.opts.Self.Entry
-	if dialledBack && !l.sparse() {
-		return errors.Annotatef(ErrHandshake, "entry %q should be dialled, not dial", o.Entry)
+	weDial := o.Entry > l.opts.Self.Entry
+	if weDial && !l.sparse() {
+		return errors.Annotatef(ErrHandshake, "entry %q must wait to be dialled", o.Entry)
 	}
 	r := l.remote(o.Entry)
 	if r == nil && l.opts.Dynamic && h.Address != "" {
@@ -93,12 +95,12 @@
 		}
 		r = l.remote(o.Entry)
 	}
-	if r != nil && dialledBack {
-		r.demand(l.demandFor)
-		return errors.Trace(errDialledBack)
+	if r != nil && weDial {
+		r.demand(l.demandPeriod)
+		return errors.Trace(errWillDialBack)
 	}
 	if r == nil {
 		return errors.Annotatef(ErrHandshake, "entry %q is not in the settings", o.Entry)
 	}
-	return r.check(o)
+	return r.checkOwner(o)
 }
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// benchPair is two entries linked over loopback.
+// benchPair links two entries over loopback and returns the dialling one.
 func benchPair(b *testing.B) *Links {
 	up := make(chan bool, 4)
 	there := New(Options{Self: owner("b", 1), Peers: []Peer{{Entry: "a", Zone: "z"}}, Secret: []byte("s")})
@@ -25,7 +25,7 @@
 	return here
 }
 
-// BenchmarkCall is the round trip of one call of 200 bytes at a time.
+// BenchmarkCall measures the round trip of sequential calls of 200 bytes.
 func BenchmarkCall(b *testing.B) {
 	links := benchPair(b)
 	body := make([]byte, 200)
@@ -36,8 +36,8 @@
 	}
 }
 
-// BenchmarkCallsAtOnce is the time for each of many concurrent calls, where
-// frames are joined into writes.
+// BenchmarkCallsAtOnce measures the time per call of many concurrent calls, whose
+// frames are coalesced into writes.
 func BenchmarkCallsAtOnce(b *testing.B) {
 	links := benchPair(b)
 	body := make([]byte, 200)
--- a/internal/peer/demand.go
+++ b/internal/peer/demand.go
@@ -9,75 +9,76 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Load pattern: hundreds of entries of which each works with a few dozen. A link between
-// each two of them is thousands of connections to open when a fleet starts, in the second
-// in which callers come, and to keep alive ever after. So a large fleet keeps those links up
-// that heartbeats go over; any other is opened when it is needed, and closed when nothing
-// has gone over it for a while.
+// Load pattern: hundreds of entries, each of which works with a few dozen others. A link
+// for every pair would mean thousands of connections, all opened when the fleet starts, in
+// the same second in which callers arrive, and kept alive ever after. A large fleet therefore
+// keeps only the links that carry heartbeats open. All others are opened on demand and closed
+// when they have been idle for a while.
 
 const (
-	// demandFor is for how long a link is kept that was needed once.
-	demandFor = 20 * time.Second
-	// linkWait is how long a call waits for a link to be opened: some round trips, and the
-	// pause of a busy VM.
-	linkWait = 300 * time.Millisecond
-	// failedFor is for how long after a link could not be opened calls fail at once.
-	failedFor = time.Second
+	// demandPeriod is how long a link that was opened on demand is kept open.
+	demandPeriod = 20 * time.Second
+	// linkOpenTimeout is how long a call waits for a link to be opened: a few round trips
+	// plus a pause of a busy VM.
+	linkOpenTimeout = 300 * time.Millisecond
+	// failureBackoff is how long calls fail immediately after a link could not be opened.
+	failureBackoff = time.Second
 )
 
-// errDialledBack is the answer to an entry that should be dialled and needs the link.
-const errDialledBack = errors.ConstError("peer: dialled back")
+// errWillDialBack ends the handshake of an entry that asked for a link which this entry
+// has to dial.
+const errWillDialBack = errors.ConstError("peer: dialled back")
 
-// Stand sets to which entries links are kept up; nil stands for all. Others are opened when
-// they are needed.
+// Stand sets the entries to which links are kept open permanently; nil means all. Links to
+// other entries are opened on demand.
 func (l *Links) Stand(ids []job.EntryID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.standing = nil
+	l.persistentIDs = nil
 	if ids != nil {
-		l.standing = make(map[job.EntryID]bool, len(ids))
+		l.persistentIDs = make(map[job.EntryID]bool, len(ids))
 		for _, id := range ids {
-			l.standing[id] = true
+			l.persistentIDs[id] = true
 		}
 	}
 	for id, r := range l.remotes {
-		r.stands.Store(l.standing == nil || l.standing[id])
-		r.rouse()
+		r.persistent.Store(l.persistentIDs == nil || l.persistentIDs[id])
+		r.signal()
 	}
 }
 
-// sparse reports whether only some links are kept up.
+// sparse reports whether only some links are kept open permanently.
 func (l *Links) sparse() bool {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	return l.standing != nil
+	return l.persistentIDs != nil
 }
 
-func (r *remote) rouse() {
+func (r *remote) signal() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// demand has a link opened that is not kept up.
-func (r *remote) demand(keep time.Duration) {
-	r.demanded.Store(time.Now().Add(keep).UnixNano())
-	r.rouse()
+// demand requests that the link be open for the given period.
+func (r *remote) demand(period time.Duration) {
+	r.neededUntil.Store(time.Now().Add(period).UnixNano())
+	r.signal()
 }
 
-// needed reports whether the link is to be open now.
-func (r *remote) needed() bool { return r.stands.Load() || r.isDemanded() }
+// needed reports whether the link should be open now.
+func (r *remote) needed() bool { return r.persistent.Load() || r.isDemanded() }
 
-func (r *remote) isDemanded() bool { return time.Now().UnixNano() < r.demanded.Load() }
+func (r *remote) isDemanded() bool { return time.Now().UnixNano() < r.neededUntil.Load() }
 
-// failedLately reports whether the link could not be opened a moment ago.
-func (r *remote) failedLately() bool {
-	return time.Since(time.Unix(0, r.failed.Load())) < failedFor
+// failedRecently reports whether opening the link failed within failureBackoff.
+func (r *remote) failedRecently() bool {
+	return time.Since(time.Unix(0, r.lastFailure.Load())) < failureBackoff
 }
 
-// untilNeeded waits until the link is needed; it reports false when ctx ends before.
-func (r *remote) untilNeeded(ctx context.Context) bool {
+// waitUntilNeeded waits until the link is needed. It returns false if ctx ends first.
+func (r *remote) waitUntilNeeded(ctx context.Context) bool {
 	for !r.needed() {
 		select {
 		case <-ctx.Done():
@@ -88,8 +89,8 @@
 	return ctx.Err() == nil
 }
 
-// linkTo returns the link to an entry for a call, and has one opened where links are not
-// all kept up. Where none can be opened soon it returns nil.
+// linkTo returns the link to an entry for a call. If not all links are kept open, it has
+// the link opened. It returns nil if there is no link within linkOpenTimeout.
 func (l *Links) linkTo(ctx context.Context, to job.EntryID) *link {
 	r := l.remote(to)
 	if r == nil {
@@ -98,11 +99,11 @@
 	if k := r.current(); k != nil {
 		return k
 	}
-	if !l.sparse() || r.failedLately() {
+	if !l.sparse() || r.failedRecently() {
 		return nil
 	}
-	r.demand(l.demandFor)
-	timer := time.NewTimer(linkWait)
+	r.demand(l.demandPeriod)
+	timer := time.NewTimer(linkOpenTimeout)
 	defer timer.Stop()
 	for {
 		k, changed := r.state()
@@ -119,54 +120,54 @@
 	}
 }
 
-// dialledWithin is how long an entry waits to be dialled for a link that is kept up, which
-// the other side mostly keeps up as well.
-const dialledWithin = 150 * time.Millisecond
+// dialGracePeriod is how long an entry waits to be dialled for a persistent link before it
+// asks for it. The other side usually keeps the same link open and dials by itself.
+const dialGracePeriod = 150 * time.Millisecond
 
-// keepKnocking has the peer dial this entry while the link is needed: of each pair the one
-// with the smaller name dials, and it may not need the link itself.
-func (l *Links) keepKnocking(ctx context.Context, r *remote) {
-	pause := minPause
-	for r.untilNeeded(ctx) {
+// dialRequestLoop asks the peer to dial this entry while the link is needed. The entry with
+// the smaller name dials, and it may not need the link itself.
+func (l *Links) dialRequestLoop(ctx context.Context, r *remote) {
+	delay := minRedialDelay
+	for r.waitUntilNeeded(ctx) {
 		k, changed := r.state()
-		wait := pause
+		wait := delay
 		switch {
 		case k != nil || !l.sparse():
-			wait, pause = 0, minPause
-		case pause == minPause && !r.isDemanded():
-			wait, pause = dialledWithin, 2*minPause
+			wait, delay = 0, minRedialDelay
+		case delay == minRedialDelay && !r.isDemanded():
+			wait, delay = dialGracePeriod, 2*minRedialDelay
 		default:
-			l.knock(ctx, r)
-			pause = min(2*pause, maxPause)
+			l.requestDial(ctx, r)
+			delay = min(2*delay, maxRedialDelay)
 		}
-		if !r.await(ctx, changed, wait) {
+		if !r.waitForChange(ctx, changed, wait) {
 			return
 		}
 	}
 }
 
-// await waits until the link or the need for it changes, or for so long; zero is for ever.
-// It reports false when ctx ends before.
-func (r *remote) await(ctx context.Context, changed <-chan struct{}, wait time.Duration) bool {
-	var over <-chan time.Time
+// waitForChange waits until the link or the need for it changes, or until wait has passed.
+// A wait of zero means no limit. It returns false if ctx ends first.
+func (r *remote) waitForChange(ctx context.Context, changed <-chan struct{}, wait time.Duration) bool {
+	var timeout <-chan time.Time
 	if wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
-		over = timer.C
+		timeout = timer.C
 	}
 	select {
 	case <-ctx.Done():
 		return false
 	case <-changed:
 	case <-r.wake:
-	case <-over:
+	case <-timeout:
 	}
 	return true
 }
 
-// knock opens a connection whose hello asks to be dialled back.
-func (l *Links) knock(ctx context.Context, r *remote) {
-	if k, err := l.open(ctx, r); err == nil { // it should have refused
+// requestDial opens a connection whose hello makes the peer dial this entry.
+func (l *Links) requestDial(ctx context.Context, r *remote) {
+	if k, err := l.open(ctx, r); err == nil { // unexpected: the peer should refuse the handshake
 		_ = k.conn.CloseNow()
 	}
 }
--- a/internal/peer/demand_test.go
+++ b/internal/peer/demand_test.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	testSilence = 600 * time.Millisecond
-	testDemand  = 300 * time.Millisecond
+	testSilence      = 600 * time.Millisecond
+	testDemandPeriod = 300 * time.Millisecond
 )
 
-// sparsePair is two entries that keep no link up.
+// sparsePair is two entries that keep no link open permanently.
 func sparsePair(t *testing.T, handler Handler) *pair {
 	p := &pair{links: make(chan bool, 64)}
 	options := func(name job.EntryID) Options {
@@ -27,14 +27,14 @@
 	}
 	b := options("b")
 	p.b = New(b)
-	p.wire = newWire(t, serve(t, p.b))
+	p.proxy = newProxy(t, serve(t, p.b))
 	a := options("a")
-	a.Peers = []Peer{{Entry: "b", Zone: "z", Address: p.wire.listener.Addr().String()}}
+	a.Peers = []Peer{{Entry: "b", Zone: "z", Address: p.proxy.listener.Addr().String()}}
 	a.OnLink = func(_ job.EntryID, up bool) { p.links <- up }
 	p.a = New(a)
 	p.b.Add(Peer{Entry: "a", Zone: "z", Address: serve(t, p.a)})
 	for _, l := range []*Links{p.a, p.b} {
-		l.demandFor = testDemand
+		l.demandPeriod = testDemandPeriod
 		l.Handle(testKind, handler)
 		l.Stand([]job.EntryID{})
 		run(t, l)
@@ -49,14 +49,14 @@
 	return l.Call(ctx, to, testKind, "x", &got)
 }
 
-// Guards against a fleet in which two entries that need each other now and then have no way
-// to, whichever of them has the smaller name, and against links that stay open for ever.
+// Guards against entries that can't reach each other without a persistent link, whichever
+// of them has the smaller name, and against links that stay open forever.
 func TestLinksAreOpenedOnDemand(t *testing.T) {
-	for _, needs := range []string{"a", "b"} {
-		t.Run(needs, func(t *testing.T) {
+	for _, caller := range []string{"a", "b"} {
+		t.Run(caller, func(t *testing.T) {
 			p := sparsePair(t, echo)
 			qt.Assert(t, p.a.Up("b"), qt.IsFalse)
-			if needs == "a" {
+			if caller == "a" {
 				qt.Assert(t, call(p.a, "b"), qt.IsNil)
 			} else {
 				qt.Assert(t, call(p.b, "a"), qt.IsNil)
@@ -68,7 +68,8 @@
 	}
 }
 
-// Guards against calls that wait for an entry whose process has ended.
+// Guards against calls that wait for an entry whose process has ended: after the first
+// failure, calls fail without waiting.
 func TestDemandOfAnEndedEntryFailsSoon(t *testing.T) {
 	a := New(Options{Self: owner("a", 1), Peers: []Peer{{Entry: "b", Zone: "z", Address: "127.0.0.1:1"}}})
 	a.Stand([]job.EntryID{})
@@ -76,11 +77,12 @@
 	qt.Assert(t, call(a, "b"), qt.ErrorIs, ErrNotSent)
 	begun := time.Now()
 	qt.Assert(t, call(a, "b"), qt.ErrorIs, ErrNotSent)
-	qt.Assert(t, time.Since(begun) < linkWait, qt.IsTrue)
+	qt.Assert(t, time.Since(begun) < linkOpenTimeout, qt.IsTrue)
 	qt.Assert(t, a.Refused("b"), qt.IsTrue)
 }
 
-// Guards against a long call whose link counts as silent, though the peer works on it.
+// Guards against a long call whose link counts as unresponsive although the peer is still
+// handling the call.
 func TestWorkingPeerIsNotSilent(t *testing.T) {
 	p := sparsePair(t, func(_ context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
 		time.Sleep(3 * testSilence)
@@ -89,23 +91,24 @@
 	qt.Assert(t, call(p.a, "b"), qt.IsNil)
 }
 
-// Guards against a call over a connection that has gone silent without a reset, which would
-// wait for its own end.
+// Guards against a call that waits until its own timeout because its connection stopped
+// delivering data without a reset.
 func TestSilentLinkEndsTheCallsThatWait(t *testing.T) {
 	p := sparsePair(t, echo)
 	qt.Assert(t, call(p.a, "b"), qt.IsNil)
-	p.wire.stall()
+	p.proxy.stall()
 	begun := time.Now()
 	qt.Assert(t, call(p.a, "b"), qt.ErrorIs, ErrNoAnswer)
 	qt.Assert(t, time.Since(begun) < testSilence+3*probePeriod, qt.IsTrue, qt.Commentf("%s", time.Since(begun)))
 }
 
-// Guards against links of a fleet that has grown which stay closed once it is small again.
+// Guards against links that stay closed when a large fleet, whose links are opened on
+// demand, becomes small again.
 func TestAllLinksStandAgain(t *testing.T) {
 	p := sparsePair(t, echo)
 	p.a.Stand(nil)
 	p.b.Stand(nil)
 	p.await(true)
-	time.Sleep(2 * testDemand)
+	time.Sleep(2 * testDemandPeriod)
 	qt.Assert(t, p.a.Up("b"), qt.IsTrue)
 }
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -14,53 +14,53 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// The pause between dials starts short, since most broken links are
-	// restarts, and grows to one that costs nothing while a peer is away for
-	// days. Jitter keeps the entries of a zone from dialling a returning one
-	// all at the same moment.
-	minPause = 50 * time.Millisecond
-	maxPause = time.Second
-	// probePeriod is how often an entry that waits to be dialled looks whether
-	// the processes of its peers run at all, and maxProbes at how many of them it
-	// looks each time, in turn. When a large fleet starts, each entry waits for
-	// hundreds of others; looked at all at once four times a second, they had no
-	// processor left for the links themselves.
+	// The delay between dials starts short, since most broken links are caused
+	// by restarts, and grows to a value that costs almost nothing while a peer is
+	// down for days. Jitter keeps the entries of a zone from all dialling a
+	// returning peer at the same moment.
+	minRedialDelay = 50 * time.Millisecond
+	maxRedialDelay = time.Second
+	// probePeriod is how often an entry that waits to be dialled probes whether
+	// the processes of its peers are running, and maxProbes is the number of
+	// randomly chosen peers per period. When a large fleet starts, each entry
+	// waits for hundreds of others. Probing all of them four times a second left
+	// no processor time for the links themselves.
 	probePeriod = 250 * time.Millisecond
 	maxProbes   = 16
-	// maxDials bounds the links that are being opened at once. Each of some hundred
-	// entries that start together gets that many for each other one; more than
-	// maxHandshakes at one entry are turned away and would have to come again.
+	// maxDials bounds the links that one entry opens concurrently. Hundreds of
+	// entries may start together and each opens that many at once. An entry
+	// rejects handshakes beyond maxHandshakes, which then have to be retried.
 	maxDials = 32
 )
 
-// keepDialling keeps the link to a peer up while it is needed, until ctx ends.
-func (l *Links) keepDialling(ctx context.Context, r *remote) {
-	pause := minPause
-	for r.untilNeeded(ctx) {
+// dialLoop keeps the link to a peer open while it is needed, until ctx ends.
+func (l *Links) dialLoop(ctx context.Context, r *remote) {
+	delay := minRedialDelay
+	for r.waitUntilNeeded(ctx) {
 		start := time.Now()
 		err := l.dial(ctx, r)
-		if time.Since(start) > maxPause {
-			pause = minPause
+		if time.Since(start) > maxRedialDelay {
+			delay = minRedialDelay
 		}
-		if pause == minPause && ctx.Err() == nil && r.needed() {
+		if delay == minRedialDelay && ctx.Err() == nil && r.needed() {
 			l.log.Warn("peer link not up", "peer", r.Entry, "address", r.address(), "cause", err)
 		}
 		select {
 		case <-ctx.Done():
 		case <-r.wake:
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-time.After(delay/2 + rand.N(delay)):
 		}
-		pause = min(2*pause, maxPause)
+		delay = min(2*delay, maxRedialDelay)
 	}
 }
 
-// dialsTo reports whether this side opens the link to an entry.
+// dialsTo reports whether this entry is the one that opens the link to r.
 func (l *Links) dialsTo(r *remote) bool { return l.opts.Self.Entry < r.Entry }
 
-// watchLinks looks after all links until ctx ends: those that have gone silent or are not
-// needed any more are closed, and of the peers that should dial this entry and don't, a
-// bare connection tells whether their process runs.
-func (l *Links) watchLinks(ctx context.Context) {
+// monitorLinks closes links that are unresponsive or no longer needed, until ctx
+// ends. It also probes peers that should dial this entry but have no link: a plain
+// TCP connection shows whether their process is running.
+func (l *Links) monitorLinks(ctx context.Context) {
 	var probes sync.WaitGroup
 	defer probes.Wait()
 	for ctx.Err() == nil {
@@ -72,29 +72,29 @@
 		now := time.Now()
 		for _, r := range l.all() {
 			if k := r.current(); k != nil {
-				l.watch(ctx, now, r, k)
+				l.checkLink(ctx, now, r, k)
 			}
 		}
 		l.probe(ctx, &probes)
 	}
 }
 
-// watch closes a link that has gone silent, or that is not needed any more. The side that
-// dials does the latter: the other one's need shows as frames.
-func (l *Links) watch(ctx context.Context, now time.Time, r *remote, k *link) {
+// checkLink closes a link that is unresponsive or no longer needed. Only the dialling
+// side closes unneeded links. It learns from frames on the link that the other side needs it.
+func (l *Links) checkLink(ctx context.Context, now time.Time, r *remote, k *link) {
 	switch {
-	case k.silent(now, l.opts.Silence):
-		l.log.Warn("peer link silent", "peer", r.Entry, "for_ms", now.Sub(time.Unix(0, k.received.Load())).Milliseconds())
-		k.breakOff()
-	case l.sparse() && l.dialsTo(r) && !r.needed() && k.idleFor() > l.demandFor:
+	case k.unresponsive(now, l.opts.Silence):
+		l.log.Warn("peer link silent", "peer", r.Entry, "for_ms", now.Sub(time.Unix(0, k.lastReceived.Load())).Milliseconds())
+		k.abort()
+	case l.sparse() && l.dialsTo(r) && !r.needed() && k.idleTime() > l.demandPeriod:
 		go k.closeGracefully(ctx)
 	}
 }
 
-// probe looks whether the processes of some missing peers run.
+// probe checks whether the processes of some unlinked peers are running.
 func (l *Links) probe(ctx context.Context, probes *sync.WaitGroup) {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	for _, r := range l.toProbe() {
+	for _, r := range l.pickProbes() {
 		probes.Go(func() {
 			defer r.probing.Store(false)
 			conn, err := dialer.DialContext(ctx, "tcp", r.address())
@@ -106,12 +106,12 @@
 	}
 }
 
-// toProbe draws the peers to look at now. They are marked as being looked at.
-func (l *Links) toProbe() []*remote {
+// pickProbes randomly picks the peers to probe now and marks them as being probed.
+func (l *Links) pickProbes() []*remote {
 	var missing []*remote
 	for _, r := range l.all() {
 		switch {
-		case l.dialsTo(r), !r.stands.Load():
+		case l.dialsTo(r), !r.persistent.Load():
 		case r.current() != nil:
 			r.refused.Store(false)
 		case !r.probing.Load():
@@ -135,7 +135,7 @@
 	return l.serve(r, k)
 }
 
-// open opens one link once it is among the few that are being opened.
+// open opens one link. It waits first while maxDials other links are being opened.
 func (l *Links) open(ctx context.Context, r *remote) (*link, error) {
 	select {
 	case l.dials <- struct{}{}:
@@ -143,7 +143,7 @@
 		return nil, errors.Trace(ctx.Err())
 	}
 	defer func() { <-l.dials }()
-	if ctx.Err() != nil { // both were ready
+	if ctx.Err() != nil { // select may pick the token although ctx has ended
 		return nil, errors.Trace(ctx.Err())
 	}
 	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -151,10 +151,10 @@
 	conn, _, err := websocket.Dial(dialing, "ws://"+r.address()+Path, &websocket.DialOptions{HTTPClient: l.client})
 	r.refused.Store(errors.Is(err, syscall.ECONNREFUSED))
 	if err != nil {
-		r.failed.Store(time.Now().UnixNano())
+		r.lastFailure.Store(time.Now().UnixNano())
 		return nil, errors.Trace(err)
 	}
-	theirs, err := dialHandshake(ctx, conn, l.hello(r.Entry), l.opts.Secret, r.check)
+	theirs, err := dialHandshake(ctx, conn, l.hello(r.Entry), l.opts.Secret, r.checkOwner)
 	if err != nil {
 		_ = conn.CloseNow()
 		return nil, errors.Trace(err)
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	// MaxFrame is the largest encoded frame, in bytes. It holds the largest
-	// job that the callers' interface takes (16 MiB by default) with room for
-	// its encoding; a longer one would let one peer fill this entry's memory.
+	// MaxFrame is the size limit of an encoded frame, in bytes. The largest job
+	// that the callers' API accepts (16 MiB by default) fits, including its
+	// encoding overhead. Without a limit, one peer could fill this entry's memory.
 	MaxFrame = 32 << 20
-	// maxMessage bounds one WebSocket message: frames are joined up to
-	// coalesceBytes, so the largest is one full frame behind a short one.
-	maxMessage = MaxFrame + coalesceBytes
-	// coalesceBytes is how much is joined into one write. At the peak many
-	// frames of a few hundred bytes wait at once, and one system call for each
-	// would cost more processor time than the frames themselves.
+	// maxMessageBytes is the size limit of a WebSocket message. Frames are
+	// coalesced up to coalesceBytes, and a single frame may be larger.
+	maxMessageBytes = MaxFrame + coalesceBytes
+	// coalesceBytes is the size up to which frames are coalesced into one write.
+	// At peak load, many frames of a few hundred bytes are queued at once, and a
+	// system call for each would cost more CPU time than the frames themselves.
 	coalesceBytes = 128 << 10
 )
 
-// code tells the sides of a call apart in the ways that at-most-once needs.
+// code is the outcome of a call. It distinguishes a request that was refused by
+// its handler from one that never reached a handler, as at-most-once requires.
 type code uint8
 
 const (
 	codeNone code = iota
-	// codeRejected is the handler's own refusal.
+	// codeRejected means that the handler refused the request.
 	codeRejected
-	// codeUnhandled proves that no handler saw the request.
+	// codeUnhandled proves that no handler received the request.
 	codeUnhandled
 )
 
@@ -42,30 +43,32 @@
 	Body   cbor.RawMessage `cbor:"7,keyasint,omitempty"`
 }
 
-// frameDecoding refuses what no entry sends: nesting beyond that of the typed
-// messages and doubled keys, which two readers could understand differently.
+// frameDecoding rejects input that no entry sends: nesting deeper than that of
+// the typed messages, and duplicate keys, which two decoders could interpret
+// differently.
 var frameDecoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxNestedLevels: 16, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 	if err != nil {
-		panic(err) // the options are constants of this file
+		panic(err) // the options above are constants
 	}
 	return mode
 }()
 
-// encodeFrame returns the frame's bytes.
+// encodeFrame encodes a frame and enforces MaxFrame.
 func encodeFrame(f *frame) ([]byte, error) {
 	data, err := cbor.Marshal(f)
 	if err != nil {
 		return nil, errors.Annotate(err, "encoding a frame")
 	}
 	if len(data) > MaxFrame {
-		return nil, errors.Errorf("frame of %d bytes, at most %d", len(data), MaxFrame)
+		return nil, errors.Errorf("frame of %d bytes exceeds the limit of %d", len(data), MaxFrame)
 	}
 	return data, nil
 }
 
-// decodeFrames calls each for every frame of a message, with its length. A
-// malformed frame ends it with an error: what follows can't be told apart.
+// decodeFrames calls each with every frame of a message and the frame's encoded
+// length. It stops at a malformed frame and returns an error, because the start
+// of the next frame is then unknown.
 func decodeFrames(message []byte, each func(f *frame, length int)) error {
 	for len(message) > 0 {
 		f := new(frame)
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -15,85 +15,91 @@
 )
 
 const (
-	// protocolVersion changes when entries of two versions can't talk.
+	// protocolVersion changes when two versions become incompatible.
 	protocolVersion = 2
-	// handshakeTimeout bounds the four short messages of a handshake, so that
-	// a peer which connects and stays silent holds nothing for long.
+	// handshakeTimeout bounds the exchange of the four short messages of a
+	// handshake, so that an unresponsive peer holds resources only briefly.
 	handshakeTimeout = 3 * time.Second
-	// maxHandshake is the largest handshake message, in bytes: before the proof
-	// nobody gets to make this entry hold more.
+	// maxHandshake is the size limit of a handshake message, in bytes. It bounds
+	// the memory that an unauthenticated peer can use.
 	maxHandshake = 4 << 10
 	nonceBytes   = 32
 )
 
-// Labels keep a proof of one side from being played back as the other side's.
+// The labels differ by role, so that the proof of one side can't be replayed as
+// the proof of the other.
 const (
 	labelDialer   = "vanillagrade peer dialer"
 	labelAcceptor = "vanillagrade peer acceptor"
 )
 
-// ErrHandshake says that the other side could not prove that it is the entry
-// that it says it is.
+// ErrHandshake means that the handshake was refused: the other side's claimed
+// identity, version or proof is not acceptable.
 const ErrHandshake = errors.ConstError("peer: handshake refused")
 
-// hello opens a handshake. Its nonce makes each proof good for one link only.
+// hello is the first message of each side. Its nonce makes a proof valid for one
+// link only.
 type hello struct {
 	Version int         `cbor:"1,keyasint"`
 	Owner   job.Owner   `cbor:"2,keyasint"`
 	To      job.EntryID `cbor:"3,keyasint,omitempty"`
 	Nonce   []byte      `cbor:"4,keyasint"`
-	// Address is where the sender takes links; empty where settings say it.
+	// Address is where the sender accepts links. It is empty if peers know the
+	// address from their settings.
 	Address string `cbor:"5,keyasint,omitempty"`
 }
 
-// proof shows knowledge of the secret without carrying it.
+// proof proves knowledge of the secret without revealing it.
 type proof struct {
 	MAC []byte `cbor:"1,keyasint"`
 }
 
-// exchange is what both sides know after the hellos.
+// exchange holds the shared secret and both encoded hellos, from which both sides
+// compute the proofs.
 type exchange struct {
-	secret           []byte
-	dialer, acceptor []byte
+	secret                     []byte
+	dialerHello, acceptorHello []byte
 }
 
 func (e *exchange) mac(label string) []byte {
 	h := hmac.New(sha256.New, e.secret)
 	h.Write([]byte(label))
-	for _, part := range [][]byte{e.dialer, e.acceptor} {
+	for _, part := range [][]byte{e.dialerHello, e.acceptorHello} {
 		sum := sha256.Sum256(part)
 		h.Write(sum[:])
 	}
 	return h.Sum(nil)
 }
 
-// dialHandshake proves this entry first: an entry reveals no proof to somebody
-// who merely connects to it. expected checks what the other side says it is.
-func dialHandshake(ctx context.Context, conn *websocket.Conn, own hello, secret []byte, expected func(job.Owner) error) (job.Owner, error) {
+// dialHandshake runs the dialling side of a handshake. The dialling side sends its
+// proof first, so that an entry reveals no proof to a stranger that merely connects
+// to it. checkOwner checks the identity that the other side claims.
+func dialHandshake(ctx context.Context, conn *websocket.Conn, own hello, secret []byte, checkOwner func(job.Owner) error) (job.Owner, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	conn.SetReadLimit(maxHandshake)
 	e := exchange{secret: secret}
 	var err error
-	if e.dialer, err = sendHello(ctx, conn, own); err != nil {
+	if e.dialerHello, err = sendHello(ctx, conn, own); err != nil {
 		return job.Owner{}, errors.Trace(err)
 	}
 	theirs, raw, err := readHello(ctx, conn)
 	if err != nil {
 		return job.Owner{}, errors.Trace(err)
 	}
-	if err := expected(theirs.Owner); err != nil {
+	if err := checkOwner(theirs.Owner); err != nil {
 		return job.Owner{}, errors.Trace(err)
 	}
-	e.acceptor = raw
-	if err := write(ctx, conn, proof{e.mac(labelDialer)}); err != nil {
+	e.acceptorHello = raw
+	if err := writeCBOR(ctx, conn, proof{e.mac(labelDialer)}); err != nil {
 		return job.Owner{}, errors.Trace(err)
 	}
 	return theirs.Owner, errors.Trace(readProof(ctx, conn, e.mac(labelAcceptor)))
 }
 
-// acceptHandshake answers a dialling entry; known checks the name it gives.
-func acceptHandshake(ctx context.Context, conn *websocket.Conn, own hello, secret []byte, known func(hello) error) (job.Owner, error) {
+// acceptHandshake runs the accepting side of a handshake. checkHello checks the
+// identity that the dialling entry claims.
+func acceptHandshake(ctx context.Context, conn *websocket.Conn, own hello, secret []byte, checkHello func(hello) error) (job.Owner, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	conn.SetReadLimit(maxHandshake)
@@ -102,20 +108,20 @@
 		return job.Owner{}, errors.Trace(err)
 	}
 	if theirs.To != own.Owner.Entry {
-		return job.Owner{}, errors.Annotatef(ErrHandshake, "meant for %q", theirs.To)
+		return job.Owner{}, errors.Annotatef(ErrHandshake, "the hello is addressed to %q", theirs.To)
 	}
-	if err := known(theirs); err != nil {
+	if err := checkHello(theirs); err != nil {
 		return job.Owner{}, errors.Trace(err)
 	}
-	e := exchange{secret: secret, dialer: raw}
+	e := exchange{secret: secret, dialerHello: raw}
 	own.To = theirs.Owner.Entry
-	if e.acceptor, err = sendHello(ctx, conn, own); err != nil {
+	if e.acceptorHello, err = sendHello(ctx, conn, own); err != nil {
 		return job.Owner{}, errors.Trace(err)
 	}
 	if err := readProof(ctx, conn, e.mac(labelDialer)); err != nil {
 		return job.Owner{}, errors.Trace(err)
 	}
-	return theirs.Owner, errors.Trace(write(ctx, conn, proof{e.mac(labelAcceptor)}))
+	return theirs.Owner, errors.Trace(writeCBOR(ctx, conn, proof{e.mac(labelAcceptor)}))
 }
 
 func sendHello(ctx context.Context, conn *websocket.Conn, h hello) ([]byte, error) {
@@ -140,10 +146,10 @@
 		return h, nil, errors.Annotatef(ErrHandshake, "hello: %v", err)
 	}
 	if h.Version != protocolVersion {
-		return h, nil, errors.Annotatef(ErrHandshake, "protocol version %d, this is %d", h.Version, protocolVersion)
+		return h, nil, errors.Annotatef(ErrHandshake, "peer has protocol version %d, this entry has %d", h.Version, protocolVersion)
 	}
 	if len(h.Nonce) != nonceBytes {
-		return h, nil, errors.Annotatef(ErrHandshake, "nonce of %d bytes", len(h.Nonce))
+		return h, nil, errors.Annotatef(ErrHandshake, "the hello has a nonce of %d bytes", len(h.Nonce))
 	}
 	return h, raw, nil
 }
@@ -163,7 +169,7 @@
 	return nil
 }
 
-func write(ctx context.Context, conn *websocket.Conn, v any) error {
+func writeCBOR(ctx context.Context, conn *websocket.Conn, v any) error {
 	raw, err := cbor.Marshal(v)
 	if err != nil {
 		return errors.Trace(err)
--- a/internal/peer/kinds.go
+++ b/internal/peer/kinds.go
@@ -33,10 +33,10 @@
 	MemberAsk:        "member_ask",
 }
 
-// Kinds returns all kinds of messages, in the order of their numbers.
+// Kinds returns all message kinds, ordered by number.
 func Kinds() []Kind { return slices.Sorted(maps.Keys(kindNames)) }
 
-// String returns the name under which the kind is counted.
+// String returns the kind's name in metrics.
 func (k Kind) String() string {
 	if name, ok := kindNames[k]; ok {
 		return name
@@ -45,8 +45,9 @@
 }
 
 // CarriesWork reports whether messages of the kind carry tasks, results or a
-// caller's answer. All others, needed as they are, count as wasted: operators
-// of shared links pay for them without a caller getting anything by them.
+// caller's answer. All other kinds count as overhead, although they are needed:
+// operators of shared network links pay for them, and callers get nothing from
+// them.
 func (k Kind) CarriesWork() bool {
 	switch k {
 	case BatchOffer, BatchFetch, SubmissionJoin, SubmissionKeep:
--- a/internal/peer/pace_test.go
+++ b/internal/peer/limits_test.go
@@ -13,11 +13,11 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// A fleet of 300 entries starts, or comes back from a loss of power, and nobody has got
-// round to dialling this entry yet. It must not spend the processor of all of them on
-// looking whether they run: a caller then finds no entry that serves for as long.
+// A large fleet (300 entries) starts, or restarts after a power loss, and no peer has dialled
+// this entry yet. Unbounded probing would use up the processors of the whole fleet, and no
+// entry would serve callers in the meantime.
 func TestProbesOfALargeFleetAreBounded(t *testing.T) {
-	const peers, looked, most = 200, 1500 * time.Millisecond, 100
+	const peers, runTime, maxProbed = 200, 1500 * time.Millisecond, 100
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	var probes atomic.Int64
@@ -37,18 +37,18 @@
 		others = append(others, Peer{Entry: job.EntryID(fmt.Sprintf("a-%03d", i)), Zone: "z", Address: ln.Addr().String()})
 	}
 	l := New(Options{Self: job.Owner{Entry: "b", Incarnation: 1, Zone: "z"}, Peers: others})
-	ctx, cancel := context.WithTimeout(t.Context(), looked)
+	ctx, cancel := context.WithTimeout(t.Context(), runTime)
 	defer cancel()
 	qt.Assert(t, l.Run(ctx), qt.IsNil)
-	qt.Assert(t, probes.Load() <= most, qt.IsTrue, qt.Commentf("%d connections", probes.Load()))
-	qt.Assert(t, probes.Load() >= most/10, qt.IsTrue, qt.Commentf("%d connections", probes.Load()))
+	qt.Assert(t, probes.Load() <= maxProbed, qt.IsTrue, qt.Commentf("%d connections", probes.Load()))
+	qt.Assert(t, probes.Load() >= maxProbed/10, qt.IsTrue, qt.Commentf("%d connections", probes.Load()))
 }
 
-// A fleet of 300 entries starts, and those that this entry should dial accept its
-// connections but have no processor to answer yet. It must not open hundreds of links
-// at the same time, of which each one that times out is dialled again.
+// A large fleet (300 entries) starts, and the peers that this entry dials accept its
+// connections but have no processor time to answer yet. The entry must not open hundreds
+// of links at the same time, because each one that times out is dialled again.
 func TestLinksBeingOpenedAreBounded(t *testing.T) {
-	const peers, most = 200, 40
+	const peers, maxOpened = 200, 40
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	defer ln.Close()
@@ -75,6 +75,6 @@
 	opened := open.Load()
 	stop()
 	qt.Assert(t, <-ended, qt.IsNil)
-	qt.Assert(t, opened <= most, qt.IsTrue, qt.Commentf("%d links", opened))
-	qt.Assert(t, opened >= most/2, qt.IsTrue, qt.Commentf("%d links", opened))
+	qt.Assert(t, opened <= maxOpened, qt.IsTrue, qt.Commentf("%d links", opened))
+	qt.Assert(t, opened >= maxOpened/2, qt.IsTrue, qt.Commentf("%d links", opened))
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -14,40 +14,43 @@
 )
 
 const (
-	// maxQueued bounds the bytes that wait for one peer. A peer that stops
-	// reading would otherwise fill this entry's memory; two of the largest
-	// frames fit, so a large job never blocks itself.
-	maxQueued = 2 * MaxFrame
-	// DefaultSilence is how long a link may bring nothing before it counts as
-	// broken. A cut that drops packets shows as silence only; without this a call
-	// over it would wait for the kernel's retransmission time-out, many minutes.
+	// maxQueuedBytes bounds the bytes queued for one peer. A peer that stops
+	// reading would otherwise fill this entry's memory. Two frames of the
+	// maximum size fit, so a large job never blocks itself.
+	maxQueuedBytes = 2 * MaxFrame
+	// DefaultSilence is how long a link may receive nothing before it counts as
+	// broken. A partition that drops packets causes no error on the connection.
+	// Without this limit, a call would wait for the kernel's retransmission
+	// timeout of many minutes.
 	DefaultSilence = 5 * time.Second
-	// keepaliveAfter is when an idle link says that it lives. Heartbeats are
-	// more frequent, so in a running fleet these frames are not sent. Where not all links
-	// carry heartbeats, they are sent by who works on a call of the other side.
-	keepaliveAfter = 1500 * time.Millisecond
-	// workingAfter is when a link says that it lives whose peer waits for an answer.
-	workingAfter = 300 * time.Millisecond
-	// writeTimeout bounds one write to a peer that reads nothing.
+	// keepaliveInterval is how long a link is idle before it sends a keepalive.
+	// Heartbeats are more frequent, so a running fleet sends none. Where not all
+	// links carry heartbeats, only a side that handles a call of the other sends
+	// keepalives.
+	keepaliveInterval = 1500 * time.Millisecond
+	// workingInterval is the keepalive interval while the peer waits for an answer.
+	workingInterval = 300 * time.Millisecond
+	// writeTimeout bounds one write, since a peer may have stopped reading.
 	writeTimeout = 5 * time.Second
-	// maxHandlers bounds the requests of one peer that are being handled. A
-	// request beyond it is answered as not handled, which its sender may
-	// rightly take as not sent.
+	// maxHandlers bounds the requests of one peer that are handled concurrently.
+	// Further requests are answered as unhandled, which the sender can safely
+	// treat as not sent.
 	maxHandlers = 16384
 )
 
-// kindKeepalive marks the frames that only show life.
+// kindKeepalive is the kind of keepalive frames.
 const kindKeepalive Kind = 0
 
-// outgoing is one frame on its way to the socket.
+// outgoing is one queued frame.
 type outgoing struct {
-	data      []byte
-	kind      Kind
-	handed    bool
-	withdrawn bool
+	data []byte
+	kind Kind
+	// handedOff is set once the frame is passed to the socket.
+	handedOff bool
+	cancelled bool
 }
 
-// pending is a call that waits for its answer.
+// pending is a call waiting for its answer.
 type pending struct {
 	out  *outgoing
 	done chan result
@@ -60,41 +63,42 @@
 
 // link is one live connection to one peer.
 type link struct {
-	owner  *Links
-	remote job.Owner
+	links  *Links
+	peer   job.Owner
 	conn   *websocket.Conn
 	ctx    context.Context
 	cancel context.CancelFunc
-	// finished is closed when reader and writer have ended.
-	finished chan struct{}
-	handling atomic.Int64
-	// received is when the last frame came, written when the last one went, used when the
-	// last one of either went that was more than a sign of life, in Unix nanoseconds.
-	received, written, used atomic.Int64
-
-	mu     sync.Mutex
-	queue  []*outgoing
-	queued int
-	// writing is set while taken frames are on their way into the socket.
+	// finished is closed when the reader and the writer have ended.
+	finished       chan struct{}
+	activeHandlers atomic.Int64
+	// lastReceived and lastWritten are the times of the last message received and the
+	// last write; lastUsed is the time of the last frame in either direction that was
+	// not a keepalive. All are in Unix nanoseconds.
+	lastReceived, lastWritten, lastUsed atomic.Int64
+
+	mu          sync.Mutex
+	queue       []*outgoing
+	queuedBytes int
+	// writing is set while dequeued frames are being written to the socket.
 	writing bool
 	broken  bool
 	calls   map[uint64]*pending
-	// calledAt is since when a call waits for its answer.
-	calledAt time.Time
-	wake     chan struct{}
-	nextID   atomic.Uint64
+	// waitingSince is when calls last became non-empty.
+	waitingSince time.Time
+	wake         chan struct{}
+	nextID       atomic.Uint64
 }
 
-func newLink(owner *Links, remote job.Owner, conn *websocket.Conn) *link {
+func newLink(links *Links, peer job.Owner, conn *websocket.Conn) *link {
 	ctx, cancel := context.WithCancel(context.Background())
-	conn.SetReadLimit(maxMessage)
+	conn.SetReadLimit(maxMessageBytes)
 	l := &link{
-		owner: owner, remote: remote, conn: conn, ctx: ctx, cancel: cancel,
+		links: links, peer: peer, conn: conn, ctx: ctx, cancel: cancel,
 		finished: make(chan struct{}), calls: map[uint64]*pending{}, wake: make(chan struct{}, 1),
 	}
 	now := time.Now().UnixNano()
-	l.received.Store(now)
-	l.used.Store(now)
+	l.lastReceived.Store(now)
+	l.lastUsed.Store(now)
 	return l
 }
 
@@ -103,15 +107,16 @@
 	var wg sync.WaitGroup
 	wg.Go(l.write)
 	err := l.read()
-	l.breakOff()
+	l.abort()
 	wg.Wait()
 	close(l.finished)
 	return err
 }
 
-// breakOff ends the link. Calls whose frame never reached the socket learn
-// that it was not sent; all others must assume that the peer acted.
-func (l *link) breakOff() {
+// abort closes the link immediately. Calls whose frame was never passed to the
+// socket fail with ErrNotSent; all others fail with ErrNoAnswer, because the peer
+// may have acted.
+func (l *link) abort() {
 	l.mu.Lock()
 	calls := l.calls
 	if !l.broken {
@@ -120,21 +125,21 @@
 	}
 	l.calls = map[uint64]*pending{}
 	for _, p := range calls {
-		if p.out.handed {
-			p.done <- result{err: errors.Annotatef(ErrNoAnswer, "the link to %s broke", l.remote.Entry)}
+		if p.out.handedOff {
+			p.done <- result{err: errors.Annotatef(ErrNoAnswer, "the link to %s broke", l.peer.Entry)}
 			continue
 		}
-		p.out.withdrawn = true
-		p.done <- result{err: errors.Annotatef(ErrNotSent, "the link to %s broke", l.remote.Entry)}
+		p.out.cancelled = true
+		p.done <- result{err: errors.Annotatef(ErrNotSent, "the link to %s broke", l.peer.Entry)}
 	}
 	l.mu.Unlock()
 	_ = l.conn.CloseNow()
 }
 
-// enqueue takes a frame for the writer. p is nil for a frame that expects no
+// enqueue queues a frame for the writer. p is nil for a frame that expects no
 // answer.
 func (l *link) enqueue(f *frame, p *pending) (*outgoing, error) {
-	f.Stamp = l.owner.now()
+	f.Stamp = l.links.now()
 	if p != nil {
 		f.Call = l.nextID.Add(1)
 	}
@@ -145,17 +150,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.broken {
-		return nil, errors.Annotatef(ErrNotSent, "the link to %s is down", l.remote.Entry)
+		return nil, errors.Annotatef(ErrNotSent, "the link to %s is down", l.peer.Entry)
 	}
-	if l.queued+len(data) > maxQueued {
-		return nil, errors.Annotatef(ErrNotSent, "%d bytes wait for %s already", l.queued, l.remote.Entry)
+	if l.queuedBytes+len(data) > maxQueuedBytes {
+		return nil, errors.Annotatef(ErrNotSent, "%d bytes are already queued for %s", l.queuedBytes, l.peer.Entry)
 	}
 	out := &outgoing{data: data, kind: f.Kind}
 	l.queue = append(l.queue, out)
-	l.queued += len(data)
+	l.queuedBytes += len(data)
 	if p != nil {
 		if len(l.calls) == 0 {
-			l.calledAt = time.Now()
+			l.waitingSince = time.Now()
 		}
 		p.out = out
 		l.calls[f.Call] = p
@@ -182,22 +187,22 @@
 	}
 }
 
-// abandon gives a call up. A frame that still waits is taken back, which
+// abandon cancels a call. A frame that is still queued is cancelled too, which
 // proves that it was not sent.
 func (l *link) abandon(id uint64, p *pending, cause error) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.calls, id)
-	if p.out.handed {
-		return errors.Annotatef(ErrNoAnswer, "%s: %v", l.remote.Entry, cause)
+	if p.out.handedOff {
+		return errors.Annotatef(ErrNoAnswer, "%s: %v", l.peer.Entry, cause)
 	}
-	p.out.withdrawn = true
-	return errors.Annotatef(ErrNotSent, "%s: %v", l.remote.Entry, cause)
+	p.out.cancelled = true
+	return errors.Annotatef(ErrNotSent, "%s: %v", l.peer.Entry, cause)
 }
 
-// take removes the frames of one write from the queue and marks them as handed
-// to the socket: from here on nobody can prove that they did not arrive.
-func (l *link) take(buf []byte) (taken []byte, more bool) {
+// dequeue appends the frames of one write to buf and marks them as handed off to
+// the socket. From then on nothing can prove that they did not arrive.
+func (l *link) dequeue(buf []byte) (batch []byte, more bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -206,14 +211,14 @@
 			break
 		}
 		n++
-		l.queued -= len(out.data)
-		if out.withdrawn {
+		l.queuedBytes -= len(out.data)
+		if out.cancelled {
 			continue
 		}
-		out.handed = true
-		l.noteUse(out.kind)
+		out.handedOff = true
+		l.recordUse(out.kind)
 		buf = append(buf, out.data...)
-		l.owner.stats.add(out.kind, false, len(out.data))
+		l.links.stats.add(out.kind, false, len(out.data))
 	}
 	clear(l.queue[:n])
 	l.queue = l.queue[n:]
@@ -223,8 +228,8 @@
 
 // write is the only writer of the connection.
 func (l *link) write() {
-	defer l.breakOff()
-	idle := time.NewTimer(keepaliveAfter)
+	defer l.abort()
+	idle := time.NewTimer(keepaliveInterval)
 	defer idle.Stop()
 	var buf []byte
 	for {
@@ -233,56 +238,56 @@
 			return
 		case <-l.wake:
 		case <-idle.C:
-			if l.owner.sparse() {
+			if l.links.sparse() {
 				continue
 			}
-			l.sayAlive()
+			l.sendKeepalive()
 		}
 		for more := true; more; {
-			buf, more = l.take(buf[:0])
+			buf, more = l.dequeue(buf[:0])
 			if len(buf) == 0 {
 				continue
 			}
 			if err := l.flush(buf); err != nil {
 				return
 			}
-			more = true // until take says that nothing is left and clears writing
+			more = true // continue until dequeue finds the queue empty and clears writing
 		}
 		if cap(buf) > 2*coalesceBytes {
 			buf = nil
 		}
-		idle.Reset(keepaliveAfter)
+		idle.Reset(keepaliveInterval)
 	}
 }
 
 func (l *link) flush(buf []byte) error {
-	l.written.Store(time.Now().UnixNano())
+	l.lastWritten.Store(time.Now().UnixNano())
 	ctx, cancel := context.WithTimeout(l.ctx, writeTimeout)
 	defer cancel()
 	return errors.Trace(l.conn.Write(ctx, websocket.MessageBinary, buf))
 }
 
-// closeGracefully ends the link after the peer has read what was queued, or
-// when ctx ends. Closing at once would reset the connection and destroy what
-// the peer has not read yet; the closing handshake is the peer's word that it
-// has.
+// closeGracefully closes the link after the peer has read everything queued, or
+// when ctx ends. Closing immediately would reset the connection and destroy data
+// that the peer has not read yet. The closing handshake confirms that the peer has
+// read it.
 func (l *link) closeGracefully(ctx context.Context) {
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		l.drained(ctx)
+		l.waitDrained(ctx)
 		_ = l.conn.Close(websocket.StatusGoingAway, "stopping")
 	}()
 	select {
 	case <-closed:
 	case <-ctx.Done():
 	}
-	l.breakOff()
+	l.abort()
 	<-l.finished
 }
 
-// drained waits until all queued frames are with the socket.
-func (l *link) drained(ctx context.Context) {
+// waitDrained waits until all queued frames have been written to the socket.
+func (l *link) waitDrained(ctx context.Context) {
 	const poll = 2 * time.Millisecond
 	for ctx.Err() == nil {
 		l.mu.Lock()
@@ -298,7 +303,7 @@
 // read is the only reader of the connection.
 func (l *link) read() error {
 	for {
-		message, err := l.next()
+		message, err := l.readMessage()
 		if err != nil {
 			return errors.Trace(err)
 		}
@@ -308,60 +313,62 @@
 	}
 }
 
-// next returns the next message. A link that is broken off ends it; silence is found by
-// watchLinks.
-func (l *link) next() ([]byte, error) {
+// readMessage returns the next message. It has no timeout of its own: monitorLinks
+// detects an unresponsive link and aborts it, which ends the read.
+func (l *link) readMessage() ([]byte, error) {
 	_, message, err := l.conn.Read(context.Background())
-	l.received.Store(time.Now().UnixNano())
+	l.lastReceived.Store(time.Now().UnixNano())
 	return message, errors.Trace(err)
 }
 
 func (l *link) dispatch(f *frame, length int) {
-	l.owner.stats.add(f.Kind, true, length)
-	l.owner.observe(f.Stamp)
-	l.noteUse(f.Kind)
+	l.links.stats.add(f.Kind, true, length)
+	l.links.observe(f.Stamp)
+	l.recordUse(f.Kind)
 	switch {
 	case f.Kind == kindKeepalive:
 	case f.Answer:
-		l.answered(f)
+		l.handleAnswer(f)
 	default:
 		l.handle(f)
 	}
 }
 
-// noteUse notes that a frame of some use went over the link.
-func (l *link) noteUse(k Kind) {
+// recordUse updates lastUsed unless the frame is a keepalive.
+func (l *link) recordUse(k Kind) {
 	if k != kindKeepalive {
-		l.used.Store(time.Now().UnixNano())
+		l.lastUsed.Store(time.Now().UnixNano())
 	}
 }
 
-// idleFor is for how long nothing but signs of life has gone over the link.
-func (l *link) idleFor() time.Duration {
+// idleTime returns how long the link has carried nothing but keepalives. It returns
+// zero while a call waits for its answer or a handler runs.
+func (l *link) idleTime() time.Duration {
 	l.mu.Lock()
 	calls := len(l.calls)
 	l.mu.Unlock()
-	if calls > 0 || l.handling.Load() > 0 {
+	if calls > 0 || l.activeHandlers.Load() > 0 {
 		return 0
 	}
-	return time.Since(time.Unix(0, l.used.Load()))
+	return time.Since(time.Unix(0, l.lastUsed.Load()))
 }
 
-// sayAlive shows the peer that this side lives.
-func (l *link) sayAlive() { _, _ = l.enqueue(&frame{Kind: kindKeepalive}, nil) }
+// sendKeepalive shows the peer that this side is alive.
+func (l *link) sendKeepalive() { _, _ = l.enqueue(&frame{Kind: kindKeepalive}, nil) }
 
-// silent reports whether the link has brought nothing for too long: what the peer is to
-// send of itself has not come, or a call waits and not even a sign of life comes.
-func (l *link) silent(now time.Time, silence time.Duration) bool {
-	last := time.Unix(0, l.received.Load())
-	since, within := l.owner.expects(l.remote.Entry)
+// unresponsive reports whether the link has received nothing for too long: either the
+// traffic that the peer should send by itself is overdue, or a call is waiting and not even
+// a keepalive arrives.
+func (l *link) unresponsive(now time.Time, timeout time.Duration) bool {
+	last := time.Unix(0, l.lastReceived.Load())
+	since, within := l.links.expects(l.peer.Entry)
 	if within > 0 && now.Sub(later(last, since)) > within {
 		return true
 	}
 	l.mu.Lock()
-	waits, calledAt := len(l.calls) > 0, l.calledAt
+	waiting, waitingSince := len(l.calls) > 0, l.waitingSince
 	l.mu.Unlock()
-	return waits && now.Sub(later(last, calledAt)) > silence
+	return waiting && now.Sub(later(last, waitingSince)) > timeout
 }
 
 func later(a, b time.Time) time.Time {
@@ -371,69 +378,69 @@
 	return b
 }
 
-func (l *link) answered(f *frame) {
+func (l *link) handleAnswer(f *frame) {
 	l.mu.Lock()
 	p := l.calls[f.Call]
 	delete(l.calls, f.Call)
 	l.mu.Unlock()
 	if p == nil {
-		return // the caller gave up meanwhile
+		return // the call was cancelled in the meantime
 	}
 	r := result{body: f.Body}
 	switch f.Code {
 	case codeNone:
 	case codeUnhandled:
-		r.err = errors.Annotatef(ErrNotSent, "%s did not handle it: %s", l.remote.Entry, f.Error)
+		r.err = errors.Annotatef(ErrNotSent, "%s did not handle the request: %s", l.peer.Entry, f.Error)
 	default:
-		r.err = errors.Annotatef(ErrRejected, "%s: %s", l.remote.Entry, f.Error)
+		r.err = errors.Annotatef(ErrRejected, "%s: %s", l.peer.Entry, f.Error)
 	}
 	p.done <- r
 }
 
-// handle runs the handler of a request, in this goroutine for kinds that are
-// handled in order.
+// handle runs the handler of a request. Kinds that are handled in order run in the
+// calling goroutine, others in their own.
 func (l *link) handle(f *frame) {
-	h, ordered := l.owner.handler(f.Kind)
+	h, ordered := l.links.handler(f.Kind)
 	if h == nil {
 		l.answer(f, nil, codeUnhandled, errors.Errorf("no handler for kind %d", f.Kind))
 		return
 	}
 	if ordered {
-		l.serve(f, h)
+		l.runHandler(f, h)
 		return
 	}
-	if l.handling.Add(1) > maxHandlers {
-		l.handling.Add(-1)
+	if l.activeHandlers.Add(1) > maxHandlers {
+		l.activeHandlers.Add(-1)
 		l.answer(f, nil, codeUnhandled, errors.New("too many requests at once"))
 		return
 	}
 	go func() {
-		defer l.handling.Add(-1)
+		defer l.activeHandlers.Add(-1)
 		if f.Call != 0 {
-			defer l.aliveWhileWorking()()
+			defer l.keepaliveWhileHandling()()
 		}
-		l.serve(f, h)
+		l.runHandler(f, h)
 	}()
 }
 
-// aliveWhileWorking shows signs of life to a peer that waits for an answer, until the
-// returned function is called. Other frames of the time show the same.
-func (l *link) aliveWhileWorking() (end func()) {
+// keepaliveWhileHandling sends keepalives to a peer that waits for an answer, until the
+// returned function is called. It skips them while other frames are being written.
+func (l *link) keepaliveWhileHandling() (end func()) {
 	var mu sync.Mutex
 	ended := false
 	var timer *time.Timer
 	mu.Lock()
 	defer mu.Unlock()
-	timer = time.AfterFunc(workingAfter, func() {
+	timer = time.AfterFunc(workingInterval, func() {
 		mu.Lock()
 		defer mu.Unlock()
 		if ended {
 			return
 		}
-		if time.Since(time.Unix(0, l.written.Load())) >= workingAfter {
-			l.sayAlive()
+		if time.Since(time.Unix(0, l.lastWritten.Load())) >= workingInterval {
+			l.sendKeepalive()
 		}
-		timer.Reset(workingAfter)
+		timer.Reset(workingInterval)
 	})
 	return func() {
 		mu.Lock()
@@ -443,31 +450,31 @@
 	}
 }
 
-func (l *link) serve(f *frame, h Handler) {
-	value, err := h(l.ctx, l.remote, f.Body)
+func (l *link) runHandler(f *frame, h Handler) {
+	value, err := h(l.ctx, l.peer, f.Body)
 	l.answer(f, value, codeRejected, err)
 }
 
-// answer sends the answer of a call. One that can't be queued breaks the link:
-// a caller that waits for it on a live link would wait for ever.
+// answer sends the answer to a call. If it can't be queued, the link is aborted:
+// the caller would otherwise wait forever on a working link.
 func (l *link) answer(f *frame, value any, failure code, err error) {
 	if f.Call == 0 {
 		return
 	}
-	back := &frame{Kind: f.Kind, Call: f.Call, Answer: true}
+	reply := &frame{Kind: f.Kind, Call: f.Call, Answer: true}
 	if err == nil {
-		back.Body, err = cbor.Marshal(value)
+		reply.Body, err = cbor.Marshal(value)
 	}
-	if err == nil && len(back.Body) > MaxFrame-answerRoom {
-		err = errors.Errorf("answer of %d bytes", len(back.Body))
+	if err == nil && len(reply.Body) > MaxFrame-answerOverhead {
+		err = errors.Errorf("answer of %d bytes", len(reply.Body))
 	}
 	if err != nil {
-		back.Body, back.Code, back.Error = nil, failure, err.Error()
+		reply.Body, reply.Code, reply.Error = nil, failure, err.Error()
 	}
-	if _, err := l.enqueue(back, nil); err != nil {
-		l.breakOff()
+	if _, err := l.enqueue(reply, nil); err != nil {
+		l.abort()
 	}
 }
 
-// answerRoom is the most that a frame adds to its body, in bytes.
-const answerRoom = 64
+// answerOverhead is the most that a frame adds to its body, in bytes.
+const answerOverhead = 64
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -15,80 +15,82 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Path is where an entry takes links on its peer listener.
+// Path is the path of the peer listener on which an entry accepts links.
 const Path = "/v1/peer"
 
-// JoinPath is where it takes joins on the same listener.
+// JoinPath is the path of the peer listener on which an entry accepts joins.
 const JoinPath = "/v1/join"
 
 const (
-	// closeTimeout is how long a planned stop waits until its peers have read
-	// what is queued.
+	// closeTimeout is how long a planned stop waits for peers to read what is
+	// queued.
 	closeTimeout = 3 * time.Second
-	// maxHandshakes bounds the connections that have not proved themselves, so
+	// maxHandshakes bounds the connections that are not yet authenticated, so
 	// that strangers can't hold many goroutines and buffers.
 	maxHandshakes     = 64
 	readHeaderTimeout = 2 * time.Second
 	maxHeaderBytes    = 8 << 10
 )
 
-// Clock is the hybrid logical clock whose reading each frame carries.
+// Clock is the hybrid logical clock whose timestamp each frame carries.
 type Clock interface {
 	Now() uint64
 	Observe(uint64)
 }
 
-// Peer is one other entry as the process settings name it.
+// Peer is another entry, from the settings or discovered later.
 type Peer struct {
 	Entry   job.EntryID
 	Zone    job.Zone
 	Address string
 }
 
-// Options are the settings of the links.
+// Options configures Links.
 type Options struct {
 	Self  job.Owner
 	Peers []Peer
-	// Secret is shared by all entries. Without it only loopback addresses may
-	// be linked.
+	// Secret is shared by all entries. Without it, only loopback addresses are
+	// allowed unless TrustNetwork is set.
 	Secret []byte
-	// TrustNetwork lets entries on other machines link without a secret: the
-	// operator vouches that nobody else can reach the peer listeners.
+	// TrustNetwork allows links to other machines without a secret. The operator
+	// guarantees that nobody else can reach the peer listeners.
 	TrustNetwork bool
-	// Address is where this entry takes links. It rides in the handshake, so
-	// that an entry which is not known yet can be dialled back.
+	// Address is where this entry accepts links. The handshake carries it, so
+	// that an entry which does not know this one yet can dial back.
 	Address string
-	// Dynamic takes links of entries that the settings do not name.
+	// Dynamic accepts links from entries that are not in the settings.
 	Dynamic bool
-	// Silence is how long a link may bring nothing before it counts as broken;
-	// zero takes DefaultSilence. It must be above the period of heartbeats.
+	// Silence is how long a link may receive nothing before it counts as broken;
+	// zero means DefaultSilence. It must be longer than the heartbeat period.
 	Silence time.Duration
-	// Expects returns within what time an entry is to send something, and since when, where
-	// not all links are kept up; nil stands for Silence, zero for never. Silence of others
-	// is taken for nothing while no call waits for them.
+	// Expects is used where not all links are kept open. It returns the interval within
+	// which an entry should send something, and the time from which that applies. If
+	// Expects is nil, the interval is Silence. An interval of zero means that nothing is
+	// expected: the link then counts as broken only if a call waits for an answer.
 	Expects func(job.EntryID) (since time.Time, within time.Duration)
-	// Join, when set, takes the joins of entries that look for others.
+	// Join, if set, handles the joins of entries that are discovering others.
 	Join http.Handler
-	// OnMeet, when set, is told of an entry that linked itself without being
-	// known before. It must not block.
+	// OnMeet, if set, is called when a previously unknown entry dials this one.
+	// It must not block.
 	OnMeet func(Peer, job.Incarnation)
 	Clock  Clock
 	Log    *slog.Logger
-	// OnLink, when set, is told that the link to an entry came up or went
-	// down. It must not block.
+	// OnLink, if set, is called when the link to an entry comes up or goes down.
+	// It must not block.
 	OnLink func(to job.EntryID, up bool)
 }
 
-// Links is the Mesh over WebSocket and CBOR: of each pair of entries the one
+// Links implements Mesh over WebSocket and CBOR. In each pair of entries, the one
 // with the smaller name dials.
 type Links struct {
 	opts   Options
 	log    *slog.Logger
 	stats  counters
 	client *http.Client
-	// unproven counts the connections in their handshake, opened the links that came up.
-	unproven atomic.Int64
-	opened   atomic.Uint64
+	// handshakes counts the accepted connections whose handshake is in progress,
+	// opened the links that have come up.
+	handshakes atomic.Int64
+	opened     atomic.Uint64
 	// dials holds a token for each link that is being opened.
 	dials chan struct{}
 
@@ -97,23 +99,23 @@
 	handlers map[Kind]Handler
 	ordered  map[Kind]bool
 	closed   bool
-	// demandFor is how long a link that was needed once is kept.
-	demandFor time.Duration
-	// keep starts the goroutine that keeps a link up; nil before Run.
-	keep func(*remote)
-	// standing are the entries to which links are kept up; nil stands for all.
-	standing map[job.EntryID]bool
+	// demandPeriod is how long a link that was opened on demand is kept open.
+	demandPeriod time.Duration
+	// startLoop starts the goroutines that maintain a link; nil before Run.
+	startLoop func(*remote)
+	// persistentIDs are the entries to which links are kept open; nil means all.
+	persistentIDs map[job.EntryID]bool
 }
 
 var _ Mesh = (*Links)(nil)
 
-// New returns links that are not up yet: set the handlers, mount Handler, then
-// call Run.
+// New returns Links without open links. Set the handlers, mount Handler, then call
+// Run.
 func New(opts Options) *Links {
 	l := &Links{
 		opts: opts, log: opts.Log, stats: counters{kinds: map[Kind]*KindStats{}},
 		remotes: map[job.EntryID]*remote{}, handlers: map[Kind]Handler{}, ordered: map[Kind]bool{},
-		dials: make(chan struct{}, maxDials), demandFor: demandFor,
+		dials: make(chan struct{}, maxDials), demandPeriod: demandPeriod,
 	}
 	if l.log == nil {
 		l.log = slog.New(slog.DiscardHandler)
@@ -133,16 +135,16 @@
 	return l
 }
 
-// Self returns this entry's own life.
+// Self returns this entry's identity, including its incarnation.
 func (l *Links) Self() job.Owner { return l.opts.Self }
 
-// Stats returns the counts by kind, in the order of the kinds.
+// Stats returns the message and byte counts, ordered by kind.
 func (l *Links) Stats() []KindStats { return l.stats.list() }
 
-// Opened returns how many links have come up since the start.
+// Opened returns how many links have come up since the process started.
 func (l *Links) Opened() uint64 { return l.opened.Load() }
 
-// Standing returns how many links stand.
+// Standing returns the number of open links.
 func (l *Links) Standing() int {
 	n := 0
 	for _, r := range l.all() {
@@ -153,24 +155,24 @@
 	return n
 }
 
-// Up reports whether the link to an entry stands, as far as this side knows.
+// Up reports whether the link to an entry is open, as far as this side knows.
 func (l *Links) Up(to job.EntryID) bool { return l.current(to) != nil }
 
 // Refused reports whether the machine of an entry refused the last connection:
-// it is up and no process listens there. Silence proves less, since a cut looks
-// the same.
+// the machine is up, but no process listens there. A missing reply proves less,
+// since a network partition looks the same.
 func (l *Links) Refused(to job.EntryID) bool {
 	r := l.remote(to)
 	return r != nil && r.refused.Load()
 }
 
 // Handle sets the handler of a kind.
-func (l *Links) Handle(kind Kind, h Handler) { l.set(kind, h, false) }
+func (l *Links) Handle(kind Kind, h Handler) { l.setHandler(kind, h, false) }
 
-// HandleInOrder sets a handler that gets the messages of one peer in order.
-func (l *Links) HandleInOrder(kind Kind, h Handler) { l.set(kind, h, true) }
+// HandleInOrder sets a handler that receives the messages of each peer in order.
+func (l *Links) HandleInOrder(kind Kind, h Handler) { l.setHandler(kind, h, true) }
 
-func (l *Links) set(kind Kind, h Handler, ordered bool) {
+func (l *Links) setHandler(kind Kind, h Handler, ordered bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.handlers[kind], l.ordered[kind] = h, ordered
@@ -195,8 +197,8 @@
 	}
 }
 
-// Call sends a request and waits for its answer. With the link down it fails
-// at once, where links are not opened on demand.
+// Call sends a request and waits for its answer. If the link is down, Call has it
+// opened where links are opened on demand, and otherwise fails immediately.
 func (l *Links) Call(ctx context.Context, to job.EntryID, kind Kind, req, resp any) error {
 	body, err := cbor.Marshal(req)
 	if err != nil {
@@ -216,7 +218,7 @@
 	return nil
 }
 
-// Send sends a message that expects no answer; it never waits for the network.
+// Send sends a message that expects no answer. It never waits for the network.
 func (l *Links) Send(to job.EntryID, kind Kind, msg any) error {
 	body, err := cbor.Marshal(msg)
 	if err != nil {
@@ -230,8 +232,8 @@
 	return err
 }
 
-// expects returns within what time the peer of a link is to send something, and since when;
-// zero for never.
+// expects returns the interval within which an entry should send something, and the time
+// from which that applies. An interval of zero means that nothing is expected.
 func (l *Links) expects(of job.EntryID) (since time.Time, within time.Duration) {
 	if l.opts.Expects == nil || !l.sparse() {
 		return time.Time{}, l.opts.Silence
@@ -247,33 +249,33 @@
 	return r.current()
 }
 
-// Run dials the peers with a larger name and keeps the links up until ctx
-// ends; then it closes them all after what is queued has left.
+// Run dials the peers with a larger name and maintains the links until ctx ends.
+// Then it sends what is queued and closes all links.
 func (l *Links) Run(ctx context.Context) error {
 	if err := l.checkLoopback(); err != nil {
 		return errors.Trace(err)
 	}
 	var wg sync.WaitGroup
-	keep := func(r *remote) {
+	startLoop := func(r *remote) {
 		ctx, cancel := context.WithCancel(ctx)
 		wg.Go(func() {
 			defer cancel()
 			select {
-			case <-r.forgotten:
+			case <-r.removed:
 			case <-ctx.Done():
 			}
 		})
 		if l.dialsTo(r) {
-			wg.Go(func() { l.keepDialling(ctx, r) })
+			wg.Go(func() { l.dialLoop(ctx, r) })
 		} else {
-			wg.Go(func() { l.keepKnocking(ctx, r) })
+			wg.Go(func() { l.dialRequestLoop(ctx, r) })
 		}
 	}
-	wg.Go(func() { l.watchLinks(ctx) })
+	wg.Go(func() { l.monitorLinks(ctx) })
 	l.mu.Lock()
-	l.keep = keep
+	l.startLoop = startLoop
 	for _, r := range l.remotes {
-		keep(r)
+		startLoop(r)
 	}
 	l.mu.Unlock()
 	<-ctx.Done()
@@ -324,40 +326,40 @@
 	return l.closed
 }
 
-// serve makes k the link to r and serves it until it breaks. A link of an
-// earlier life of the peer never replaces one of a later life.
+// serve makes k the link to r and serves it until it breaks. A link of an earlier
+// incarnation of the peer never replaces one of a later incarnation.
 func (l *Links) serve(r *remote, k *link) error {
-	r.change.Lock()
+	r.replaceMu.Lock()
 	if old := l.current(r.Entry); old != nil {
-		if old.remote.Incarnation > k.remote.Incarnation {
-			r.change.Unlock()
+		if old.peer.Incarnation > k.peer.Incarnation {
+			r.replaceMu.Unlock()
 			_ = k.conn.CloseNow()
-			return errors.Annotate(ErrHandshake, "an earlier life of the peer")
+			return errors.Annotate(ErrHandshake, "the link is from an earlier incarnation of the peer")
 		}
-		old.breakOff()
+		old.abort()
 		<-old.finished
 	}
-	r.set(k)
+	r.setLink(k)
 	l.opened.Add(1)
-	r.change.Unlock()
+	r.replaceMu.Unlock()
 	if l.isClosed() {
-		k.breakOff()
+		k.abort()
 	}
-	l.log.Info("peer link up", "peer", r.Entry, "zone", r.Zone, "incarnation", k.remote.Incarnation)
-	l.tell(r.Entry, true)
+	l.log.Info("peer link up", "peer", r.Entry, "zone", r.Zone, "incarnation", k.peer.Incarnation)
+	l.notifyLink(r.Entry, true)
 	err := k.run()
-	if r.clear(k) {
-		l.tell(r.Entry, false)
+	if r.clearLink(k) {
+		l.notifyLink(r.Entry, false)
 	}
 	return err
 }
 
-// hello opens a handshake with an entry.
+// hello returns the hello of this entry to another one.
 func (l *Links) hello(to job.EntryID) hello {
 	return hello{Version: protocolVersion, Owner: l.opts.Self, To: to, Address: l.opts.Address}
 }
 
-func (l *Links) tell(to job.EntryID, up bool) {
+func (l *Links) notifyLink(to job.EntryID, up bool) {
 	if l.opts.OnLink != nil {
 		l.opts.OnLink(to, up)
 	}
--- a/internal/peer/links_test.go
+++ b/internal/peer/links_test.go
@@ -19,9 +19,9 @@
 
 const testKind Kind = 900
 
-// wire is the cable between two entries: it can be cut, or hold back all bytes
-// while the connection stays open.
-type wire struct {
+// proxy forwards connections between two entries. It can close them, or stall all
+// data while they stay open.
+type proxy struct {
 	listener net.Listener
 	target   string
 	mu       sync.Mutex
@@ -29,11 +29,11 @@
 	stalled  chan struct{}
 }
 
-func newWire(t *testing.T, target string) *wire {
+func newProxy(t *testing.T, target string) *proxy {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
-	w := &wire{listener: ln, target: target}
-	t.Cleanup(func() { ln.Close(); w.cut() })
+	w := &proxy{listener: ln, target: target}
+	t.Cleanup(func() { ln.Close(); w.closeConns() })
 	go func() {
 		for {
 			in, err := ln.Accept()
@@ -55,7 +55,7 @@
 	return w
 }
 
-func (w *wire) copy(to, from net.Conn) {
+func (w *proxy) copy(to, from net.Conn) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
@@ -76,7 +76,7 @@
 	}
 }
 
-func (w *wire) cut() {
+func (w *proxy) closeConns() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.conns {
@@ -89,17 +89,17 @@
 	}
 }
 
-func (w *wire) stall() {
+func (w *proxy) stall() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stalled = make(chan struct{})
 }
 
-// pair is two entries with a wire between them.
+// pair is two entries with a proxy between them.
 type pair struct {
 	a, b  *Links
-	wire  *wire
-	links chan bool // what a is told of its link
+	proxy *proxy
+	links chan bool // the OnLink events of a
 }
 
 func owner(name job.EntryID, incarnation job.Incarnation) job.Owner {
@@ -127,10 +127,10 @@
 func newPair(t *testing.T, secretA, secretB string, set func(a, b *Links)) *pair {
 	p := &pair{links: make(chan bool, 64)}
 	p.b = New(Options{Self: owner("b", 1), Peers: []Peer{{Entry: "a", Zone: "z", Address: "127.0.0.1:1"}}, Secret: []byte(secretB)})
-	p.wire = newWire(t, serve(t, p.b))
+	p.proxy = newProxy(t, serve(t, p.b))
 	p.a = New(Options{
 		Self: owner("a", 1), Secret: []byte(secretA),
-		Peers:  []Peer{{Entry: "b", Zone: "z", Address: p.wire.listener.Addr().String()}},
+		Peers:  []Peer{{Entry: "b", Zone: "z", Address: p.proxy.listener.Addr().String()}},
 		OnLink: func(_ job.EntryID, up bool) { p.links <- up },
 	})
 	if set != nil {
@@ -160,8 +160,8 @@
 	return fmt.Sprintf("%s to %s/%d", s, from.Entry, from.Incarnation), nil
 }
 
-// What a caller of Call may conclude from its error decides whether a task may
-// start elsewhere, so each way of failing must map to the right one.
+// The error of a Call decides whether a task may start elsewhere, so each kind of
+// failure must map to the right error.
 func TestCallOutcomes(t *testing.T) {
 	p := newPair(t, "s", "s", func(a, b *Links) { b.Handle(testKind, echo); a.Handle(testKind, echo) })
 	p.await(true)
@@ -185,9 +185,9 @@
 	}
 }
 
-// A peer dies while it works on a request. The caller of the dispatcher must
-// not be told "not run": the peer may have acted. When the link is back, calls
-// work again; while it is down they are provably not sent.
+// A link breaks while the peer handles a request. The call must fail with
+// ErrNoAnswer and not with ErrNotSent, because the peer may have acted. Once the
+// link is back, calls work again.
 func TestBrokenLinkLeavesHandedCallsUnknown(t *testing.T) {
 	entered, release := make(chan struct{}, 1), make(chan struct{})
 	p := newPair(t, "s", "s", func(_, b *Links) {
@@ -201,7 +201,7 @@
 	failed := make(chan error, 1)
 	go func() { failed <- p.a.Call(context.Background(), "b", testKind, "x", nil) }()
 	<-entered
-	p.wire.cut()
+	p.proxy.closeConns()
 	qt.Assert(t, <-failed, qt.ErrorIs, ErrNoAnswer)
 	close(release)
 	p.await(false)
@@ -209,9 +209,9 @@
 	qt.Assert(t, p.a.Call(t.Context(), "b", testKind, "x", nil), qt.IsNil)
 }
 
-// A peer stops reading, as a stalled VM does. Senders must not wait for it, the
-// queue must stay bounded, and when the link is given up, a call that never
-// left the queue is proved unsent while one that was handed over is not.
+// A peer stops reading, as a stalled VM does. Senders must not block, and the queue
+// must stay bounded. When the link breaks, a call that is still queued fails with
+// ErrNotSent, and a call that was handed off to the socket fails with ErrNoAnswer.
 func TestStalledPeerNeitherBlocksNorGrows(t *testing.T) {
 	received := make(chan struct{}, 1)
 	p := newPair(t, "s", "s", func(_, b *Links) {
@@ -225,7 +225,7 @@
 	handed, waiting := make(chan error, 1), make(chan error, 1)
 	go func() { handed <- p.a.Call(context.Background(), "b", testKind, "x", nil) }()
 	<-received
-	p.wire.stall()
+	p.proxy.stall()
 	block := make([]byte, 8<<20)
 	dropped := false
 	for range 64 {
@@ -243,13 +243,13 @@
 		queued = len(l.calls)
 		l.mu.Unlock()
 	}
-	p.wire.cut()
+	p.proxy.closeConns()
 	qt.Assert(t, <-handed, qt.ErrorIs, ErrNoAnswer)
 	qt.Assert(t, <-waiting, qt.ErrorIs, ErrNotSent)
 }
 
-// Somebody without the secret, or an entry with wrong settings, connects. It
-// must get no link, in either direction.
+// A client without the secret, or an entry with wrong settings, must get no link in
+// either direction.
 func TestHandshakeRefuses(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -279,15 +279,16 @@
 	}
 }
 
-// Without a secret anybody on the network could hand tasks to an entry, so it
-// must refuse to start with addresses other than loopback.
+// Without a secret, anybody on the network could send tasks to an entry. The entry
+// must refuse to start with peer addresses other than loopback.
 func TestNoSecretMeansLoopback(t *testing.T) {
 	l := New(Options{Self: owner("a", 1), Peers: []Peer{{Entry: "b", Zone: "z", Address: "10.1.2.3:7000"}}})
 	qt.Assert(t, l.Run(t.Context()), qt.ErrorMatches, ".*without a peer secret.*")
 }
 
-// An entry is restarted while its old process still hangs on, or an old packet
-// arrives late. The earlier life must never replace the later one.
+// An entry is restarted while its old process is still running, or a packet of the
+// old process arrives late. A link of the earlier incarnation must never replace one
+// of the later incarnation.
 func TestEarlierLifeNeverReplacesLater(t *testing.T) {
 	links := make(chan bool, 8)
 	b := New(Options{
@@ -295,22 +296,23 @@
 		OnLink: func(_ job.EntryID, up bool) { links <- up },
 	})
 	address := serve(t, b)
-	life := func(n job.Incarnation) *Links {
+	newLinks := func(n job.Incarnation) *Links {
 		return New(Options{Self: owner("a", n), Peers: []Peer{{Entry: "b", Zone: "z", Address: address}}, Secret: []byte("s")})
 	}
-	run(t, life(5))
+	run(t, newLinks(5))
 	qt.Assert(t, <-links, qt.IsTrue)
-	old := life(4)
+	old := newLinks(4)
 	qt.Assert(t, old.dial(t.Context(), old.remotes["b"]), qt.IsNotNil)
-	qt.Assert(t, b.current("a").remote.Incarnation, qt.Equals, job.Incarnation(5))
-	run(t, life(6))
+	qt.Assert(t, b.current("a").peer.Incarnation, qt.Equals, job.Incarnation(5))
+	run(t, newLinks(6))
 	for up := false; !up; up = <-links {
 	}
-	qt.Assert(t, b.current("a").remote.Incarnation, qt.Equals, job.Incarnation(6))
+	qt.Assert(t, b.current("a").peer.Incarnation, qt.Equals, job.Incarnation(6))
 }
 
-// A process ends while its machine runs on. Both sides must learn that it is
-// down rather than cut off, so that its targets are served again at once.
+// A process ends while its machine keeps running. Its peers, whether they dial it or
+// are dialled by it, must learn that it is down rather than partitioned, so that its
+// targets are served again immediately.
 func TestRefusedConnectionsAreTold(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -326,14 +328,14 @@
 	}
 }
 
-// numbered is long enough that a queue of them is not written in an instant.
+// numbered is padded so that writing a queue of such messages takes some time.
 type numbered struct {
 	N   int
 	Pad []byte
 }
 
-// A planned stop right after messages were sent must not lose them, and the
-// messages of one sender must arrive in their order.
+// A planned stop right after sending messages must not lose them, and the messages
+// of one sender must arrive in order.
 func TestStopSendsWhatIsQueuedInOrder(t *testing.T) {
 	const messages = 500
 	got := make(chan int, messages)
@@ -360,8 +362,8 @@
 	}
 }
 
-// A stranger connects and says nothing, or talks HTTP nonsense. It must hold no
-// more than one of the bounded handshakes.
+// A stranger sends a request that is no WebSocket upgrade and keeps the connection
+// open. It must occupy no more than one of the bounded handshakes.
 func TestStrangerGetsNothing(t *testing.T) {
 	b := New(Options{Self: owner("b", 1), Peers: []Peer{{Entry: "a", Zone: "z"}}, Secret: []byte("s")})
 	conn, err := net.Dial("tcp", serve(t, b))
@@ -372,13 +374,13 @@
 	_, err = io.ReadFull(conn, reply)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, string(reply), qt.Equals, "HTTP/1.1 426")
-	qt.Assert(t, b.unproven.Load() <= 1, qt.IsTrue)
+	qt.Assert(t, b.handshakes.Load() <= 1, qt.IsTrue)
 }
 
-// A damaged or hostile frame must end in an error, never in a panic or in a
-// message that does not encode to what was sent.
+// A damaged or malicious frame must cause an error, never a panic. A frame that
+// decodes must encode again and keep its kind.
 func FuzzDecodeFrames(f *testing.F) {
-	seed := func(frames ...frame) {
+	addSeed := func(frames ...frame) {
 		var b []byte
 		for i := range frames {
 			data, err := encodeFrame(&frames[i])
@@ -390,8 +392,8 @@
 		f.Add(b)
 	}
 	body, _ := cbor.Marshal(map[string]int{"x": 1})
-	seed(frame{Kind: Heartbeat, Body: body})
-	seed(frame{Kind: BatchOffer, Call: 7, Stamp: 1 << 60, Body: body}, frame{Kind: BatchOffer, Call: 7, Answer: true, Code: codeRejected, Error: "no"})
+	addSeed(frame{Kind: Heartbeat, Body: body})
+	addSeed(frame{Kind: BatchOffer, Call: 7, Stamp: 1 << 60, Body: body}, frame{Kind: BatchOffer, Call: 7, Answer: true, Code: codeRejected, Error: "no"})
 	f.Add([]byte{0xbf, 0xff})
 	f.Add([]byte{0xa1, 0x07, 0x9f, 0x9f, 0x9f})
 	f.Add([]byte{0xa2, 0x01, 0x01, 0x01, 0x02})
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries typed messages between entries: one WebSocket link a
-// pair, CBOR bodies, message and byte counts by kind, and a hybrid logical
-// clock reading on every frame.
+// Package peer exchanges typed messages between entries. Each pair of entries
+// shares one WebSocket link. Bodies are CBOR, messages and bytes are counted by
+// kind, and every frame carries a hybrid logical clock timestamp.
 package peer
 
 import (
@@ -43,36 +43,36 @@
 	MemberAsk        Kind = 52
 )
 
-// Errors of a call. Their difference is what at-most-once rests on.
+// Errors of a call. The at-most-once guarantee relies on telling them apart.
 const (
-	// ErrNotSent proves that the peer got nothing of the request.
+	// ErrNotSent proves that the peer received no part of the request.
 	ErrNotSent = errors.ConstError("peer: not sent")
-	// ErrNoAnswer says that the request may have arrived and acted.
+	// ErrNoAnswer means that the request may have arrived and taken effect.
 	ErrNoAnswer = errors.ConstError("peer: no answer")
-	// ErrRejected carries the peer's own refusal as its message.
+	// ErrRejected means that the peer's handler refused the request; the error
+	// text carries its message.
 	ErrRejected = errors.ConstError("peer: rejected")
 )
 
-// Handler answers one message. body is CBOR; the returned value is encoded as
-// the answer of a Call and ignored for a Send.
+// Handler handles one message. body is CBOR. The returned value is encoded as
+// the answer to a Call and ignored for a Send.
 type Handler func(ctx context.Context, from job.Owner, body cbor.RawMessage) (any, error)
 
-// Mesh is one entry's links to the others.
+// Mesh is one entry's set of links to the other entries.
 type Mesh interface {
-	// Self returns this entry's own life.
+	// Self returns this entry's identity, including its incarnation.
 	Self() job.Owner
-	// Call sends req and waits for the answer, decoding it into resp (nil to
-	// ignore it). Its error is, or wraps, one of ErrNotSent, ErrNoAnswer and
-	// ErrRejected.
+	// Call sends req, waits for the answer and decodes it into resp; a nil
+	// resp ignores the answer. A returned error is or wraps ErrNotSent,
+	// ErrNoAnswer or ErrRejected.
 	Call(ctx context.Context, to job.EntryID, kind Kind, req, resp any) error
-	// Send sends msg and expects no answer. It never blocks on the network; a
-	// message that finds its queue full or its link down is dropped.
+	// Send sends msg and expects no answer. It never blocks on the network: if
+	// the queue is full or the link is down, the message is dropped.
 	Send(to job.EntryID, kind Kind, msg any) error
 	// Handle sets the handler of a kind. It is called before the links start.
-	// Handlers run in their own goroutine and may block, except those set with
-	// HandleInOrder.
+	// Each message is handled in its own goroutine, so the handler may block.
 	Handle(kind Kind, h Handler)
-	// HandleInOrder sets a handler that gets the messages of one peer one at a
-	// time in the order of their sending. It must not block.
+	// HandleInOrder sets a handler that receives the messages of each peer one
+	// at a time, in the order in which they were sent. It must not block.
 	HandleInOrder(kind Kind, h Handler)
 }
--- a/internal/peer/peertest/network.go
+++ b/internal/peer/peertest/network.go
@@ -1,6 +1,6 @@
-// Package peertest is a network of entries in memory, for tests: it implements
-// peer.Mesh with delays, cuts and lost answers and needs no sockets, so it runs
-// under testing/synctest.
+// Package peertest is an in-memory network of entries for tests. It implements
+// peer.Mesh with delays, partitions and message loss. It needs no sockets, so it
+// runs under testing/synctest.
 package peertest
 
 import (
@@ -16,18 +16,18 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 )
 
-// Network joins nodes. The zero value is ready to use and delivers at once.
+// Network connects nodes. The zero value is ready to use and delivers immediately.
 type Network struct {
 	// Delay is the one-way delay of every message.
 	Delay time.Duration
-	// Drop, when set, decides for each message whether it is lost. For answers
-	// of calls answer is true and from is the answering node.
+	// Drop, if set, decides for each message whether it is lost. For the answer
+	// to a call, answer is true and from is the answering node.
 	Drop func(from, to job.EntryID, kind peer.Kind, answer bool) bool
 
-	mu    sync.Mutex
-	nodes map[job.EntryID]*Node
-	cut   map[[2]job.EntryID]bool
-	sent  map[peer.Kind]int
+	mu      sync.Mutex
+	nodes   map[job.EntryID]*Node
+	blocked map[[2]job.EntryID]bool
+	sent    map[peer.Kind]int
 }
 
 // Node is one entry on the network.
@@ -38,25 +38,25 @@
 	handlers map[peer.Kind]peer.Handler
 	ordered  map[peer.Kind]bool
 	queues   map[job.EntryID]chan func()
-	stopped  chan struct{}
+	removed  chan struct{}
 }
 
 var _ peer.Mesh = (*Node)(nil)
 
-// Join adds a node. Joining again under the same name replaces the earlier life.
+// Join adds a node. A node of the same name is replaced.
 func (n *Network) Join(self job.Owner) *Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.nodes == nil {
 		n.nodes = map[job.EntryID]*Node{}
-		n.cut = map[[2]job.EntryID]bool{}
+		n.blocked = map[[2]job.EntryID]bool{}
 		n.sent = map[peer.Kind]int{}
 	}
 	if old := n.nodes[self.Entry]; old != nil {
-		close(old.stopped)
+		close(old.removed)
 	}
 	node := &Node{
-		net: n, self: self, stopped: make(chan struct{}),
+		net: n, self: self, removed: make(chan struct{}),
 		handlers: map[peer.Kind]peer.Handler{}, ordered: map[peer.Kind]bool{},
 		queues: map[job.EntryID]chan func(){},
 	}
@@ -64,24 +64,25 @@
 	return node
 }
 
-// Leave removes a node at once, as a crash does.
+// Leave removes a node immediately, as a crash does.
 func (n *Network) Leave(id job.EntryID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if old := n.nodes[id]; old != nil {
-		close(old.stopped)
+		close(old.removed)
 		delete(n.nodes, id)
 	}
 }
 
-// Cut stops or restores the messages from a to b (one direction).
+// Cut blocks (down is true) or restores the messages from a to b, in this direction
+// only.
 func (n *Network) Cut(a, b job.EntryID, down bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]job.EntryID{a, b}] = down
+	n.blocked[[2]job.EntryID{a, b}] = down
 }
 
-// CutBoth stops or restores the messages between a and b.
+// CutBoth blocks or restores the messages between a and b in both directions.
 func (n *Network) CutBoth(a, b job.EntryID, down bool) {
 	n.Cut(a, b, down)
 	n.Cut(b, a, down)
@@ -113,7 +114,7 @@
 	return n.Drop != nil
 }
 
-// Sent returns how many messages of the kind were sent, answers included.
+// Sent returns how many messages of the kind were sent, including answers.
 func (n *Network) Sent(kind peer.Kind) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -124,7 +125,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sent[kind]++
-	if n.cut[[2]job.EntryID{from, to}] {
+	if n.blocked[[2]job.EntryID{from, to}] {
 		return nil, false
 	}
 	if n.Drop != nil && n.Drop(from, to, kind, answer) {
@@ -134,18 +135,18 @@
 	return node, node != nil
 }
 
-// running reports whether the node has neither left nor been replaced: the
-// dead answer nothing.
+// running reports whether the node has been neither removed nor replaced. A node
+// that is not running answers nothing.
 func (d *Node) running() bool {
 	select {
-	case <-d.stopped:
+	case <-d.removed:
 		return false
 	default:
 		return true
 	}
 }
 
-// Self returns the node's life.
+// Self returns the node's identity, including its incarnation.
 func (d *Node) Self() job.Owner { return d.self }
 
 // Handle sets the handler of a kind.
@@ -155,7 +156,8 @@
 	d.handlers[kind] = h
 }
 
-// HandleInOrder sets a handler that gets one message of a peer at a time.
+// HandleInOrder sets a handler that receives the messages of each peer one at a
+// time.
 func (d *Node) HandleInOrder(kind peer.Kind, h peer.Handler) {
 	d.Handle(kind, h)
 	d.mu.Lock()
@@ -163,9 +165,10 @@
 	d.ordered[kind] = true
 }
 
-// Call sends a request and waits for its answer. A node that is not there, or a
-// cut before the request leaves, gives peer.ErrNotSent; a lost request or
-// answer waits until ctx ends and gives peer.ErrNoAnswer.
+// Call sends a request and waits for its answer. If the node to is missing or
+// blocked, Call returns peer.ErrNotSent. If the request or its answer is lost, Call
+// waits until ctx ends and returns peer.ErrNoAnswer. While Drop is set, every
+// undelivered request counts as lost.
 func (d *Node) Call(ctx context.Context, to job.EntryID, kind peer.Kind, req, resp any) error {
 	body, err := cbor.Marshal(req)
 	if err != nil {
@@ -189,8 +192,8 @@
 	}
 	done := make(chan result, 1)
 	node.deliver(d.self, kind, body, d.net.delay(), func(value any, err error) {
-		back, ok := d.net.route(to, d.self.Entry, kind, true)
-		if !ok || back != d || !node.running() {
+		replyTo, ok := d.net.route(to, d.self.Entry, kind, true)
+		if !ok || replyTo != d || !node.running() {
 			return
 		}
 		var b []byte
@@ -234,7 +237,7 @@
 	return nil
 }
 
-// deliver hands one message to its handler after the delay.
+// deliver passes one message to its handler after the delay.
 func (d *Node) deliver(from job.Owner, kind peer.Kind, body []byte, delay time.Duration, answer func(any, error)) {
 	d.mu.Lock()
 	h, ordered := d.handlers[kind], d.ordered[kind]
@@ -266,7 +269,7 @@
 	}()
 }
 
-// queue returns the ordered queue of one sender; the caller holds d.mu.
+// queue returns the ordered queue of one sender. The caller holds d.mu.
 func (d *Node) queue(from job.EntryID) chan func() {
 	q := d.queues[from]
 	if q != nil {
@@ -280,7 +283,7 @@
 			select {
 			case f := <-q:
 				f()
-			case <-d.stopped:
+			case <-d.removed:
 				return
 			}
 		}
@@ -288,8 +291,8 @@
 	return q
 }
 
-// LoseAtRandom returns a Drop function that loses a share of all messages, by a
-// fixed seed.
+// LoseAtRandom returns a Drop function that loses the given share of all messages
+// at random, with a fixed seed.
 func LoseAtRandom(seed uint64, share float64) func(from, to job.EntryID, kind peer.Kind, answer bool) bool {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, seed))
--- a/internal/peer/remotes.go
+++ b/internal/peer/remotes.go
@@ -9,42 +9,44 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// remote is one configured peer and its link, if there is one.
+// remote is one known peer and its link, if there is one.
 type remote struct {
 	Peer
-	// forgotten is closed when the peer is removed.
-	forgotten chan struct{}
-	// change is held while one link replaces another, so that the requests of
-	// the old one are read to their end before those of the new one.
-	change sync.Mutex
-	mu     sync.RWMutex
-	link   *link
-	// refused is set while the peer's machine refuses connections.
+	// removed is closed when the peer is removed.
+	removed chan struct{}
+	// replaceMu is held while one link replaces another, so that no request of
+	// the new link is read before reading from the old one has ended.
+	replaceMu sync.Mutex
+	mu        sync.RWMutex
+	link      *link
+	// refused is set if the peer's machine refused the last connection.
 	refused atomic.Bool
-	// probing is set while this entry looks whether the peer's process runs.
+	// probing is set while this entry probes whether the peer's process is running.
 	probing atomic.Bool
-	// stands is set while the link is to be kept up, demanded until when it is needed
-	// besides, in Unix nanoseconds, failed when it could not be opened last.
-	stands           atomic.Bool
-	demanded, failed atomic.Int64
-	// wake ends the wait of whoever opens the link until it is needed; changed is closed
-	// and renewed when a link comes up or breaks.
+	// persistent is set while the link is to be kept open permanently. neededUntil
+	// is when the last demand for the link ends and lastFailure when opening it
+	// failed last, both in Unix nanoseconds.
+	persistent               atomic.Bool
+	neededUntil, lastFailure atomic.Int64
+	// wake wakes the goroutine that opens the link when it is needed. changed is
+	// closed and replaced when a link comes up or breaks.
 	wake    chan struct{}
 	changed chan struct{}
 }
 
 func newRemote(p Peer) *remote {
-	return &remote{Peer: p, forgotten: make(chan struct{}), wake: make(chan struct{}, 1), changed: make(chan struct{})}
+	return &remote{Peer: p, removed: make(chan struct{}), wake: make(chan struct{}, 1), changed: make(chan struct{})}
 }
 
-// address is where the peer takes links; it changes when its VM is replaced.
+// address returns where the peer accepts links. It changes when the peer's VM is
+// replaced.
 func (r *remote) address() string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.Address
 }
 
-// current is the link that stands, or nil.
+// current returns the open link, or nil.
 func (r *remote) current() *link {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -67,8 +69,7 @@
 	return out
 }
 
-// Add links one more entry from now on, or moves a known one to the address
-// that it now has.
+// Add adds an entry to link with, or updates the address of a known one.
 func (l *Links) Add(p Peer) {
 	if p.Entry == l.opts.Self.Entry {
 		return
@@ -82,14 +83,14 @@
 		return
 	}
 	r := newRemote(p)
-	r.stands.Store(l.standing == nil || l.standing[p.Entry])
+	r.persistent.Store(l.persistentIDs == nil || l.persistentIDs[p.Entry])
 	l.remotes[p.Entry] = r
-	if l.keep != nil && !l.closed {
-		l.keep(r)
+	if l.startLoop != nil && !l.closed {
+		l.startLoop(r)
 	}
 }
 
-// Remove ends the link to an entry that is gone for good.
+// Remove removes an entry that is permanently gone and closes its link.
 func (l *Links) Remove(id job.EntryID) {
 	l.mu.Lock()
 	r := l.remotes[id]
@@ -98,45 +99,47 @@
 	if r == nil {
 		return
 	}
-	close(r.forgotten)
+	close(r.removed)
 	if k := r.current(); k != nil {
-		k.breakOff()
+		k.abort()
 	}
 }
 
-func (r *remote) set(k *link) {
+func (r *remote) setLink(k *link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.link = k
-	r.tellChanged()
+	r.signalChange()
 }
 
-// tellChanged ends the waits for a change of the link; the caller holds the lock.
-func (r *remote) tellChanged() {
+// signalChange wakes all goroutines that wait for a change of the link. The caller
+// holds r.mu.
+func (r *remote) signalChange() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// state returns the link that stands, or nil, and what is closed when that changes.
+// state returns the open link, or nil, and a channel that is closed when that
+// changes.
 func (r *remote) state() (*link, <-chan struct{}) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.link, r.changed
 }
 
-// clear takes k out and reports whether no later link has replaced it.
-func (r *remote) clear(k *link) bool {
+// clearLink removes k and reports whether k was still the current link.
+func (r *remote) clearLink(k *link) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.link != k {
 		return false
 	}
 	r.link = nil
-	r.tellChanged()
+	r.signalChange()
 	return true
 }
 
-func (r *remote) check(o job.Owner) error {
+func (r *remote) checkOwner(o job.Owner) error {
 	if o.Entry != r.Entry || o.Zone != r.Zone {
 		return errors.Annotatef(ErrHandshake, "it says that it is %s in zone %s, settings say %s in %s", o.Entry, o.Zone, r.Entry, r.Zone)
 	}
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -5,13 +5,14 @@
 	"sync"
 )
 
-// KindStats counts the messages of one kind since the start, answers included.
+// KindStats counts the messages of one kind since the process started,
+// including answers.
 type KindStats struct {
 	Kind        Kind   `json:"kind"`
 	MessagesIn  uint64 `json:"messages_in"`
 	MessagesOut uint64 `json:"messages_out"`
-	// BytesIn and BytesOut are the frames' encoded bytes, without the few
-	// bytes of WebSocket and TCP framing that coalesced frames share.
+	// BytesIn and BytesOut count the encoded bytes of the frames, without the
+	// small WebSocket and TCP overhead that coalesced frames share.
 	BytesIn  uint64 `json:"bytes_in"`
 	BytesOut uint64 `json:"bytes_out"`
 }
