--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -9,53 +9,54 @@
 	"github.com/vanillagrade/vanillagrade/internal/config"
 )
 
-// Limits and timeouts of the client where its options name none.
+// Default limits and timeouts of the client.
 const (
-	// DefaultDialTimeout bounds one connection attempt. A round trip is under
-	// 1 ms, so a target that takes longer is down or drops packets; two lost
-	// SYN packets (1 s and 2 s until sent again) are not waited for.
+	// DefaultDialTimeout bounds one connection attempt. A round trip takes less
+	// than 1 ms, so a target that takes longer is down or drops packets. The
+	// timeout does not allow for lost SYN packets, which are retransmitted
+	// after 1 s and 2 s.
 	DefaultDialTimeout = 500 * time.Millisecond
 	// DefaultIdleTimeout closes an unused connection before the target does.
-	// The shortest idle limit of the usual HTTP servers is 5 s. If the target
-	// closed first, a task could be written into a connection that is being
-	// closed: its fate would be unknown and its job would fail.
+	// The shortest idle timeout of common HTTP servers is 5 s. If the target
+	// closed first, a task could be written to a connection that is being
+	// closed: its outcome would be unknown and its job would fail.
 	DefaultIdleTimeout = 4 * time.Second
-	// DefaultMaxRun bounds the wait for one answer. Tasks last seconds at
-	// most; the bound frees a slot that would otherwise be lost for ever.
+	// DefaultMaxRun bounds the wait for one answer. Tasks take seconds at most;
+	// the limit frees a slot that would otherwise be lost forever.
 	DefaultMaxRun = 5 * time.Minute
-	// DefaultMaxAnswer bounds one answer, in bytes: the default bound of a
-	// whole job's payload.
+	// DefaultMaxAnswer is the size limit of an answer, in bytes. It equals the
+	// default limit of a whole job's payload.
 	DefaultMaxAnswer = config.DefaultMaxJobBytes
-	// maxHeaderBytes bounds the header of an answer.
+	// maxHeaderBytes is the size limit of an answer's header.
 	maxHeaderBytes = 64 << 10
 )
 
-// silentTimeout is how long a peer that says nothing at all, not even a TCP
-// acknowledgement, is waited for. A VM that loses power sends no FIN: without
-// this, tasks on it would hold their job until DefaultMaxRun. It is the
-// default lease, after which the target counts as gone anyway.
-const silentTimeout = config.DefaultLease
+// unresponsiveTimeout is how long a target may send nothing at all, not even a TCP
+// acknowledgement. A VM that loses power sends no FIN. Without this timeout, tasks on
+// it would delay their job until DefaultMaxRun. The timeout equals the default lease,
+// after which the target counts as lost anyway.
+const unresponsiveTimeout = config.DefaultLease
 
-// keepAlive probes a silent peer so that silentTimeout is met: two seconds of
-// silence and two unanswered probes a second apart.
+// keepAlive configures TCP keepalive to detect an unresponsive target within
+// unresponsiveTimeout: two idle seconds, then two unanswered probes one second apart.
 var keepAlive = net.KeepAliveConfig{
 	Enable:   true,
-	Idle:     silentTimeout / 2,
-	Interval: silentTimeout / 4,
+	Idle:     unresponsiveTimeout / 2,
+	Interval: unresponsiveTimeout / 4,
 	Count:    2,
 }
 
 // DialFunc opens a connection to a target.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// ClientOptions sets the limits of a Client; zero fields take the defaults.
+// ClientOptions sets the limits of a Client. Zero fields mean the defaults.
 type ClientOptions struct {
 	DialTimeout time.Duration
 	IdleTimeout time.Duration
 	MaxRun      time.Duration
-	// MaxAnswer bounds one answer's body, in bytes.
+	// MaxAnswer is the size limit of an answer's body, in bytes.
 	MaxAnswer int64
-	// Dial replaces the dialler.
+	// Dial replaces the default dialler.
 	Dial DialFunc
 }
 
@@ -82,25 +83,25 @@
 		d := &net.Dialer{
 			Timeout:         opts.DialTimeout,
 			KeepAliveConfig: keepAlive,
-			Control:         limitSilence,
+			Control:         setUserTimeout,
 		}
 		opts.Dial = d.DialContext
 	}
 	return &Client{opts: opts}
 }
 
-// Link is the connections to one target at one address. Each link has a
-// transport of its own, so that a target's connection limit is kept exactly,
-// the idle connections to a target that leaves can be closed at once, and
-// targets share no lock.
+// Link manages the connections to one target at one address. Each link has its own
+// transport, so that the target's connection limit is kept exactly, the idle
+// connections to a target that stops can be closed immediately, and targets share
+// no lock.
 type Link struct {
 	address   string
 	opts      ClientOptions
 	transport *http.Transport
 }
 
-// Link returns a link to a target that lets all entries together have the
-// given number of connections.
+// Link returns a link to a target that allows the given number of connections for
+// all entries together.
 func (c *Client) Link(address string, connections int) *Link {
 	if connections <= 0 {
 		connections = config.DefaultConnections
@@ -109,8 +110,9 @@
 		address: address,
 		opts:    c.opts,
 		transport: &http.Transport{
-			// A proxy named in the environment would hide which of them
-			// refused the connection, and with it the proof that nothing ran.
+			// With a proxy from the environment, it would be unclear whether the
+			// proxy or the target refused a connection, and a refusal would no
+			// longer prove that nothing ran.
 			Proxy:                  nil,
 			DialContext:            trackedDial(c.opts.Dial, connections),
 			DisableCompression:     true,
@@ -126,5 +128,5 @@
 // Address returns the target's address, "IP:PORT".
 func (l *Link) Address() string { return l.address }
 
-// Close closes the idle connections; busy ones close when their task ends.
+// Close closes the idle connections. Busy ones close when their task ends.
 func (l *Link) Close() { l.transport.CloseIdleConnections() }
--- a/internal/target/client_test.go
+++ b/internal/target/client_test.go
@@ -18,30 +18,30 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// A target reads a whole task, starts it, and its connection breaks before,
-// within or after the answer, because its process dies or its server is badly
-// made. A dispatcher that sends again doubles a bill or an alarm; one that
-// calls half an answer whole shows a torn image. Both happen most on reused
-// connections, where Go's transport replays what it deems replayable.
+// A target reads a whole task and starts it, and then its answer is broken because
+// its process dies or its server is faulty. If the dispatcher sent the task again, the
+// task would take effect twice. If it accepted a partial answer as complete, the
+// caller would get a truncated result. Both are most likely on reused connections,
+// where Go's transport replays requests that it considers replayable.
 func TestBrokenAnswersMayHaveRunAndAreNeverSentAgain(t *testing.T) {
 	cases := map[string]step{
-		"closed before the answer": thenClose(""),
-		"status line torn":         thenClose("HTTP/1.1 20"),
-		"header torn":              thenClose("HTTP/1.1 200 OK\r\nContent-Le"),
-		"body torn":                thenClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ntrue"),
-		"chunk torn":               thenClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ntrue"),
-		"last chunk missing":       thenClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ntrue\r\n"),
-		"no length":                thenClose("HTTP/1.1 200 OK\r\n\r\ntrue"),
-		"not HTTP":                 thenClose("hello\r\n\r\n"),
-		"not JSON":                 thenClose("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntru"),
-		"too long":                 thenClose("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n" + strings.Repeat("1", 99)),
-		"too long in chunks":       thenClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n63\r\n" + strings.Repeat("1", 99) + "\r\n0\r\n\r\n"),
+		"closed before the answer": answerThenClose(""),
+		"status line torn":         answerThenClose("HTTP/1.1 20"),
+		"header torn":              answerThenClose("HTTP/1.1 200 OK\r\nContent-Le"),
+		"body torn":                answerThenClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ntrue"),
+		"chunk torn":               answerThenClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ntrue"),
+		"last chunk missing":       answerThenClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ntrue\r\n"),
+		"no length":                answerThenClose("HTTP/1.1 200 OK\r\n\r\ntrue"),
+		"not HTTP":                 answerThenClose("hello\r\n\r\n"),
+		"not JSON":                 answerThenClose("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntru"),
+		"too long":                 answerThenClose("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n" + strings.Repeat("1", 99)),
+		"too long in chunks":       answerThenClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n63\r\n" + strings.Repeat("1", 99) + "\r\n0\r\n\r\n"),
 		"another task's answer":    answer("HTTP/1.1 200 OK\r\nVanillagrade-Task: other/7\r\nContent-Length: 4\r\n\r\ntrue"),
 		"failed":                   answer("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
 		"busy without proof":       answer("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"),
 		"proof with a wrong code":  answer("HTTP/1.1 500 No\r\nVanillagrade-Run: not-run\r\nContent-Length: 0\r\n\r\n"),
 		"redirected":               answer("HTTP/1.1 307 No\r\nLocation: /v1/tasks/x/1\r\nContent-Length: 0\r\n\r\n"),
-		"timed out":                thenClose("HTTP/1.1 408 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"),
+		"timed out":                answerThenClose("HTTP/1.1 408 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"),
 	}
 	for name, broken := range cases {
 		for _, reused := range []bool{false, true} {
@@ -49,7 +49,7 @@
 				t.Run(name+" reused="+strconv.FormatBool(reused)+" payload="+payload, func(t *testing.T) {
 					steps := []step{broken}
 					if reused {
-						steps = []step{answer(ok), broken}
+						steps = []step{answer(okResponse), broken}
 					}
 					raw := serveRaw(t, steps...)
 					l := link(raw)
@@ -63,7 +63,7 @@
 					res := l.Start(t.Context(), Task{Submission: "x", Index: 1, Payload: []byte(payload)})
 					qt.Assert(t, res.Status, qt.Equals, job.TaskErred, qt.Commentf("%+v", res))
 					qt.Assert(t, res.Reason == job.TargetLost || res.Reason == job.TaskFailed, qt.IsTrue)
-					most, total := raw.most()
+					most, total := raw.startCounts()
 					qt.Assert(t, []int{most, total}, qt.DeepEquals, []int{1, want})
 					if reused {
 						qt.Assert(t, raw.conns, qt.Equals, 1)
@@ -74,15 +74,15 @@
 	}
 }
 
-// A target begins a task while its body still arrives, and dies. The task has
-// an effect already, though the dispatcher could not even send it whole.
+// A target starts a task while its body is still arriving, and then dies. The task
+// may have taken effect although the dispatcher could not send all of it.
 func TestClosedWhileTheTaskIsSent(t *testing.T) {
-	for _, take := range []int64{0, 1000, longBody / 2} {
+	for _, readLimit := range []int64{0, 1000, longBody / 2} {
 		for _, reused := range []bool{false, true} {
-			t.Run(fmt.Sprint(take, " reused=", reused), func(t *testing.T) {
-				raw := serveRaw(t, answer(ok))
+			t.Run(fmt.Sprint(readLimit, " reused=", reused), func(t *testing.T) {
+				raw := serveRaw(t, answer(okResponse))
 				raw.mu.Lock()
-				raw.take = take
+				raw.readLimit = readLimit
 				raw.mu.Unlock()
 				l := link(raw)
 				defer l.Close()
@@ -104,7 +104,7 @@
 		name, text, want string
 		single           bool
 	}{
-		{name: "length", text: ok, want: "true"},
+		{name: "length", text: okResponse, want: "true"},
 		{name: "chunks", text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\ntr\r\n2\r\nue\r\n0\r\n\r\n", want: "true"},
 		{name: "empty", text: "HTTP/1.1 204 OK\r\n\r\n", want: "null"},
 		{name: "opaque", text: "HTTP/1.1 201 OK\r\nContent-Length: 3\r\n\r\n\x00{x", want: "\x00{x", single: true},
@@ -126,9 +126,8 @@
 	}
 }
 
-// A target that is full or stopping says so and proves that the task did not
-// start. Taken for a failure, its job would fail for nothing; the connection
-// stays good.
+// A target that is full or draining states that the task did not start. If this
+// counted as a failure, the job would fail needlessly. The connection stays usable.
 func TestRefusalsProveNotStarted(t *testing.T) {
 	raw := serveRaw(t,
 		answer("HTTP/1.1 429 No\r\nVanillagrade-Run: not-run\r\nContent-Length: 4\r\n\r\nfull"),
@@ -144,10 +143,10 @@
 	qt.Assert(t, raw.conns, qt.Equals, 1)
 }
 
-// A target's VM is gone, or its port is closed. The dispatcher may send the
-// task elsewhere only because nothing can have arrived.
+// A target's VM is gone, or its port is closed. Nothing can have arrived, so the
+// dispatcher may send the task elsewhere.
 func TestUnreachableIsNotStarted(t *testing.T) {
-	raw := serveRaw(t, answer(ok))
+	raw := serveRaw(t, answer(okResponse))
 	_ = raw.Close()
 	res := link(raw).Start(t.Context(), Task{Submission: "x", Payload: []byte("1")})
 	qt.Assert(t, res.Status, qt.Equals, job.TaskNotStarted)
@@ -160,35 +159,35 @@
 	qt.Assert(t, res.Refusal, qt.Equals, Abandoned)
 }
 
-// brokenConn is a connection whose peer is gone: its first write after a
-// number of good ones fails, with or without having taken some bytes.
+// brokenConn is a connection whose peer is gone. It allows writesLeft writes; each later
+// one fails after written bytes.
 type brokenConn struct {
 	net.Conn
-	good  *int
-	taken int
+	writesLeft *int
+	written    int
 }
 
 func (c brokenConn) Write(p []byte) (int, error) {
-	if *c.good--; *c.good >= 0 {
+	if *c.writesLeft--; *c.writesLeft >= 0 {
 		return c.Conn.Write(p)
 	}
-	_, _ = c.Conn.Write(p[:c.taken])
-	return c.taken, net.ErrClosed
+	_, _ = c.Conn.Write(p[:c.written])
+	return c.written, net.ErrClosed
 }
 
-// A target restarted, and an idle connection to its old process fails at the
-// first write. Nothing has left, so the task goes out on a new connection,
-// and its caller notices nothing. When even one byte has left, it does not.
+// A target restarted, and an idle connection to its old process fails at the first
+// write. If nothing was sent, the task is sent on a new connection and the caller
+// notices nothing. If even one byte was sent, the task must not be sent again.
 func TestFailedWriteOnReusedConnection(t *testing.T) {
-	for _, taken := range []int{0, 1} {
-		t.Run(strconv.Itoa(taken), func(t *testing.T) {
-			raw := serveRaw(t, answer(ok))
+	for _, written := range []int{0, 1} {
+		t.Run(strconv.Itoa(written), func(t *testing.T) {
+			raw := serveRaw(t, answer(okResponse))
 			dials := 0
-			good := 1
+			writesLeft := 1
 			dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 				c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 				if dials++; dials == 1 {
-					return brokenConn{Conn: c, good: &good, taken: taken}, err
+					return brokenConn{Conn: c, writesLeft: &writesLeft, written: written}, err
 				}
 				return c, err
 			}
@@ -196,7 +195,7 @@
 			defer l.Close()
 			qt.Assert(t, l.Start(t.Context(), Task{Submission: "warm"}).Status, qt.Equals, job.TaskDone)
 			res := l.Start(t.Context(), Task{Submission: "x", Payload: []byte("1")})
-			if taken == 0 {
+			if written == 0 {
 				qt.Assert(t, res.Status, qt.Equals, job.TaskDone, qt.Commentf("%+v", res))
 				qt.Assert(t, dials, qt.Equals, 2)
 				return
@@ -207,9 +206,8 @@
 	}
 }
 
-// A task is given up while it runs. Its answer comes late, on a connection
-// that must not carry another task: that one would be handed a stranger's
-// result.
+// A task is cancelled while it runs, and its answer arrives late. Its connection must
+// not be reused, because the next task would receive the late answer as its result.
 func TestLateAnswerIsNobodysElse(t *testing.T) {
 	received := make(chan struct{})
 	release := make(chan struct{})
@@ -219,7 +217,7 @@
 			<-release
 			return answer("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n\"late\"")(c, r)
 		}
-		return answer(ok)(c, r)
+		return answer(okResponse)(c, r)
 	})
 	l := link(raw)
 	defer l.Close()
@@ -237,8 +235,8 @@
 	}
 }
 
-// A target takes a task and never answers. Its slot would be lost for ever,
-// and with it, in time, the whole target.
+// A target accepts a task and never answers. Without a limit, its slot would be lost
+// forever, and over time all slots of the target.
 func TestSilentTargetIsGivenUp(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -253,20 +251,20 @@
 			res := l.Start(t.Context(), Task{Submission: "x", Payload: []byte("1")})
 			qt.Assert(t, res.Status, qt.Equals, job.TaskErred, qt.Commentf("%+v", res))
 			qt.Assert(t, res.Reason, qt.Equals, job.TargetLost)
-			most, total := raw.most()
+			most, total := raw.startCounts()
 			qt.Assert(t, []int{most, total}, qt.DeepEquals, []int{1, 1})
 		})
 	}
 }
 
-// A target may let all entries together have only so many connections. One
-// more and it refuses the ones that carry work.
+// A target limits the connections of all entries together. If a link exceeded its
+// number, the target would refuse connections that carry work.
 func TestConnectionLimitIsKept(t *testing.T) {
 	var mu sync.Mutex
-	open, most := 0, 0
+	open, maxOpen := 0, 0
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// Read first: the server closes the request's body with the first
-		// bytes of a long answer.
+		// Read the body first: the server closes it when the first bytes of a
+		// long answer are written.
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = w.Write(body)
@@ -277,7 +275,7 @@
 		switch s {
 		case http.StateNew:
 			open++
-			most = max(most, open)
+			maxOpen = max(maxOpen, open)
 		case http.StateClosed:
 			open--
 		}
@@ -289,7 +287,7 @@
 	var all sync.WaitGroup
 	for i := range 50 {
 		all.Go(func() {
-			number := strings.Repeat("7", 1+4000*i) // up to three times readAhead
+			number := strings.Repeat("7", 1+4000*i) // up to three times maxPreallocBytes
 			res := l.Start(t.Context(), Task{Submission: "x", Index: i, Payload: []byte(number)})
 			qt.Check(t, string(res.Payload) == number, qt.IsTrue, qt.Commentf("%+v", res.Detail))
 		})
@@ -297,7 +295,7 @@
 	all.Wait()
 	mu.Lock()
 	defer mu.Unlock()
-	qt.Assert(t, most <= 3, qt.IsTrue, qt.Commentf("%d connections", most))
+	qt.Assert(t, maxOpen <= 3, qt.IsTrue, qt.Commentf("%d connections", maxOpen))
 }
 
 func TestStopReachesTheTask(t *testing.T) {
@@ -313,8 +311,8 @@
 	qt.Assert(t, DefaultIdleTimeout < 5*time.Second, qt.IsTrue)
 }
 
-// BenchmarkStart measures one start over a reused loopback connection, target
-// included, beside the same request through a plain http.Client.
+// BenchmarkStart measures a start over a reused loopback connection, including the
+// target, and compares it with the same request through a plain http.Client.
 func BenchmarkStart(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "1")
--- a/internal/target/conn.go
+++ b/internal/target/conn.go
@@ -11,71 +11,73 @@
 	"github.com/juju/errors"
 )
 
-// errSealed is returned for a write on a connection that was declared unused.
+// errSealed is returned for a write on a sealed connection.
 const errSealed = errors.ConstError("connection sealed before its first write")
 
-// closingTime bounds how long a connection that was closed here counts until the target has
-// closed it too: some round trips, and the pause of a busy VM.
-const closingTime = 200 * time.Millisecond
+// closeWaitTimeout bounds how long a connection that was closed here still counts while the
+// target has not closed its side: a few round trips plus a pause of a busy VM.
+const closeWaitTimeout = 200 * time.Millisecond
 
-// trackedConn knows whether any byte of the request at hand may have left.
+// trackedConn records whether any byte of the current request may have been sent.
 type trackedConn struct {
 	net.Conn
-	// places are those of a link's connections; closing gives this one's back.
-	places  chan struct{}
-	closing sync.Once
+	// permits limits the connections of the link. Closing the connection returns
+	// its permit.
+	permits   chan struct{}
+	closeOnce sync.Once
 
 	mu      sync.Mutex
 	sealed  bool
 	writing bool
-	wrote   int64
+	written int64
 }
 
-// trackedDial makes a dialler's connections tracked ones, so many at a time. The transport
-// counts a connection until it closes it; the target counts it until it has read that. One
-// that was closed and one that takes its place would be one too many there for a moment,
-// and a target at its limit turns somebody else away.
+// trackedDial wraps dial so that it returns tracked connections and at most the given number
+// are open at a time. The transport counts a connection until it closes it, the target until
+// it has read the close. Without the wait for the target's close, a closed connection and its
+// replacement would briefly count as two there, and a target at its limit would reject
+// another entry's connection.
 func trackedDial(dial DialFunc, connections int) DialFunc {
-	places := make(chan struct{}, connections)
+	permits := make(chan struct{}, connections)
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		select {
-		case places <- struct{}{}:
+		case permits <- struct{}{}:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 		c, err := dial(ctx, network, address)
 		if err != nil {
-			<-places
+			<-permits
 			return nil, err
 		}
-		return &trackedConn{Conn: c, places: places}, nil
+		return &trackedConn{Conn: c, permits: permits}, nil
 	}
 }
 
-// halfCloser is a connection whose sending half can be closed by itself.
+// halfCloser is a connection whose write side can be closed separately.
 type halfCloser interface{ CloseWrite() error }
 
-// Close implements net.Conn. The place is free once the target has closed its side as well,
-// or closingTime has passed.
+// Close implements net.Conn. It returns the permit once the target has closed its side as
+// well, or after closeWaitTimeout.
 func (c *trackedConn) Close() error {
 	var err error
-	c.closing.Do(func() {
+	c.closeOnce.Do(func() {
 		half, ok := c.Conn.(halfCloser)
 		if !ok || half.CloseWrite() != nil {
 			err = c.Conn.Close()
-			<-c.places
+			<-c.permits
 			return
 		}
-		go c.awaitEnd()
+		go c.awaitPeerClose()
 	})
 	return err
 }
 
-// awaitEnd reads until the target has closed its side.
-func (c *trackedConn) awaitEnd() {
-	defer func() { <-c.places }()
-	// A connection that can't be given a deadline is closed at once.
-	if c.Conn.SetReadDeadline(time.Now().Add(closingTime)) == nil {
+// awaitPeerClose reads until the target has closed its side.
+func (c *trackedConn) awaitPeerClose() {
+	defer func() { <-c.permits }()
+	// If the deadline can't be set, the connection is closed immediately.
+	if c.Conn.SetReadDeadline(time.Now().Add(closeWaitTimeout)) == nil {
 		_, _ = io.Copy(io.Discard, c.Conn)
 	}
 	_ = c.Conn.Close()
@@ -93,47 +95,48 @@
 	n, err := c.Conn.Write(p)
 	c.mu.Lock()
 	c.writing = false
-	c.wrote += int64(n)
+	c.written += int64(n)
 	c.mu.Unlock()
 	return n, err
 }
 
-// begin starts the account of a new request. The connection carries one
+// resetCount resets the byte count for a new request. The connection carries one
 // request at a time.
-func (c *trackedConn) begin() {
+func (c *trackedConn) resetCount() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wrote = 0
+	c.written = 0
 }
 
-// seal lets no later write through and reports whether none came before: then
-// the target provably got nothing. The transport may still hold the request
-// when it reports an error, so looking without sealing would prove nothing.
+// seal fails all later writes and reports whether the connection is unused by the current
+// request, so that the target provably received nothing of it. When the transport reports an
+// error, it may still be about to write the request, so a check without sealing would prove
+// nothing.
 func (c *trackedConn) seal() (unused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
-	return !c.writing && c.wrote == 0
+	return !c.writing && c.written == 0
 }
 
-// flight follows one request through the transport.
-type flight struct {
-	// unwanted is asked when the request has its connection.
-	unwanted func() bool
+// requestTracker tracks one request through the transport.
+type requestTracker struct {
+	// isUnwanted is called once the request has a connection.
+	isUnwanted func() bool
 
-	mu     sync.Mutex
-	taken  bool
-	conn   *trackedConn
-	reused bool
-	sent   bool
+	mu          sync.Mutex
+	wasUnwanted bool
+	conn        *trackedConn
+	reused      bool
+	sent        bool
 }
 
-// trace returns the hooks that tell the flight which connection it took.
-func (f *flight) trace() *httptrace.ClientTrace {
+// trace returns the hooks that record the connection of the request.
+func (f *requestTracker) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: f.gotConn}
 }
 
-func (f *flight) gotConn(info httptrace.GotConnInfo) {
+func (f *requestTracker) gotConn(info httptrace.GotConnInfo) {
 	c, tracked := info.Conn.(*trackedConn)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -144,24 +147,25 @@
 		f.sent = true
 		return
 	}
-	c.begin()
+	c.resetCount()
 	f.conn = c
 	f.reused = info.Reused
-	if f.taken = f.unwanted(); f.taken {
+	if f.wasUnwanted = f.isUnwanted(); f.wasUnwanted {
 		c.seal()
 	}
 }
 
-// withdrawn reports whether the task was unwanted when it had its connection.
-func (f *flight) withdrawn() bool {
+// cancelled reports whether the task was unwanted when the request got its
+// connection.
+func (f *requestTracker) cancelled() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.taken
+	return f.wasUnwanted
 }
 
-// unsent reports, after an error, whether no byte of the request has left or
-// ever will.
-func (f *flight) unsent() bool {
+// unsent reports, after an error, whether no byte of the request was or ever will
+// be sent.
+func (f *requestTracker) unsent() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.conn != nil && !f.conn.seal() {
@@ -170,9 +174,9 @@
 	return !f.sent
 }
 
-// stale reports whether the request met a connection that had been used
-// before: an unsent request then says nothing about the target.
-func (f *flight) stale() bool {
+// reusedConn reports whether the request got a connection that had been used
+// before. An unsent request then says nothing about the target's state.
+func (f *requestTracker) reusedConn() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reused
--- a/internal/target/raw_test.go
+++ b/internal/target/raw_test.go
@@ -11,22 +11,22 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// rawTarget is a TCP server that reads requests, counts a start for each whole
-// one, and then does with the connection as its script says.
+// rawTarget is a TCP server that reads requests, counts the starts, and answers each
+// request with a scripted step.
 type rawTarget struct {
 	net.Listener
 	mu     sync.Mutex
 	starts map[string]int
 	conns  int
-	// take is how many bytes of a long body are read before the start is
-	// counted and the connection closed.
-	take int64
+	// readLimit is how many bytes of a long body are read before the start is
+	// counted and the connection is closed.
+	readLimit int64
 }
 
-// longBody is longer than the sockets' buffers.
+// longBody is the length of a body that exceeds the socket buffers, in bytes.
 const longBody = 16 << 20
 
-// step answers one request on c; false closes the connection.
+// step answers one request on c. It returns false to close the connection.
 type step func(c net.Conn, r *http.Request) bool
 
 func answer(text string) step {
@@ -36,16 +36,17 @@
 	}
 }
 
-func thenClose(text string) step {
+func answerThenClose(text string) step {
 	return func(c net.Conn, r *http.Request) bool {
 		answer(text)(c, r)
 		return false
 	}
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ntrue"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ntrue"
 
-// serveRaw runs the steps in turn on each connection; the last one repeats.
+// serveRaw starts a rawTarget that runs the steps in order on each connection. The
+// last step repeats.
 func serveRaw(t *testing.T, steps ...step) *rawTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -77,7 +78,7 @@
 		body := io.Reader(req.Body)
 		if req.ContentLength == longBody {
 			raw.mu.Lock()
-			body = io.LimitReader(body, raw.take)
+			body = io.LimitReader(body, raw.readLimit)
 			raw.mu.Unlock()
 		}
 		if _, err := io.Copy(io.Discard, body); err != nil {
@@ -95,7 +96,7 @@
 	}
 }
 
-func (raw *rawTarget) most() (most, total int) {
+func (raw *rawTarget) startCounts() (most, total int) {
 	raw.mu.Lock()
 	defer raw.mu.Unlock()
 	for _, n := range raw.starts {
--- a/internal/target/registry.go
+++ b/internal/target/registry.go
@@ -13,9 +13,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Bounds of what a target may announce. They are well above the machines of
-// any rack; a figure beyond them is a mistake of unit or sign, and taking it
-// would pile work on one target.
+// Limits of announced values. They are well above the size of any machine. A larger
+// value is a mistake of unit or sign, and accepting it would overload one target.
 const (
 	maxNameBytes    = 128
 	maxSlots        = 1024
@@ -23,38 +22,37 @@
 	maxProcessors   = 4096
 	maxMemoryMB     = 64 << 20
 	maxAccelerators = 1024
-	// milli is how many thousandths make a processor.
-	milli = 1000
+	// milliPerProcessor is the number of thousandths in a processor.
+	milliPerProcessor = 1000
 )
 
 const (
-	// Renewals is how many announcements fit into one lease, so that two lost
-	// ones in a row don't end it.
+	// Renewals is the number of announcements per lease. Two consecutive lost
+	// ones don't end the lease.
 	Renewals = 3
-	// withdrawnFor is how long a withdrawn target's announcements are refused
-	// at the address that it left. An announcement that was on its way through
-	// another entry may come after the withdrawal and would bring the target
-	// back for a whole lease, to which tasks would be sent in vain. Such a
-	// message is at most as old as the timeout of its request.
-	withdrawnFor = time.Second
+	// withdrawnPeriod is how long the announcements of a withdrawn target are
+	// refused for its former address. An announcement that is in transit through
+	// another entry may arrive after the withdrawal. It would restore the target
+	// for a whole lease, and tasks would be sent to it in vain. Such a message is
+	// at most as old as the timeout of its request.
+	withdrawnPeriod = time.Second
 )
 
-// buriedFor is how long the announcements of a target are refused that has ended
-// for good and whose name is never used again: longer than a cut may hold one of
-// them up.
-const buriedFor = time.Minute
+// endedPeriod is how long announcements are refused from a target that has ended and
+// whose name is never reused. It is longer than a partition can delay an announcement.
+const endedPeriod = time.Minute
 
-// maxBuried bounds the targets that are remembered as ended though they were not
-// held: six times as many as the largest fleet planned has, and 2 MB. Without it,
-// whoever sends names at random fills the memory.
-const maxBuried = 16384
+// maxEnded bounds the targets that are recorded as ended although they were not
+// held: six times the targets of the largest planned fleet, and 2 MB. Without a
+// limit, a client that sends random names could fill the memory.
+const maxEnded = 16384
 
-// ErrWithdrawn is returned for an announcement that came too soon after a
-// withdrawal.
+// ErrWithdrawn is returned for an announcement that arrives too soon after the
+// target's withdrawal or end.
 const ErrWithdrawn = errors.ConstError("the target has just withdrawn; announce again in a second")
 
-// Registry keeps the targets that this entry holds, each under a lease. It
-// reads no clock and is safe for concurrent use.
+// Registry tracks the targets that this entry holds, each under a lease. It reads no
+// clock itself and is safe for concurrent use.
 type Registry struct {
 	zone   job.Zone
 	config config.View
@@ -62,14 +60,14 @@
 	mu        sync.Mutex
 	held      map[job.TargetID]*lease
 	byAddress map[string]job.TargetID
-	withdrawn map[job.TargetID]departure
-	// buried are targets whose names are never used again, and until when they
-	// are remembered.
-	buried map[grave]time.Time
+	withdrawn map[job.TargetID]formerAddress
+	// ended holds targets whose names are never reused, and when their records
+	// expire.
+	ended map[endedKey]time.Time
 }
 
-// grave names a target that has ended, at one address or, if that is empty, at any.
-type grave struct {
+// endedKey identifies a target that has ended. An empty address means any address.
+type endedKey struct {
 	id      job.TargetID
 	address string
 }
@@ -78,53 +76,53 @@
 type lease struct {
 	target  job.Target
 	expires time.Time
-	// former is the address before the last move and until when an
-	// announcement from there is refused.
-	former departure
+	// former is the address before the last change of address.
+	former formerAddress
 }
 
-// departure is an address that a target left.
-type departure struct {
+// formerAddress is an address that a target no longer uses, and the time until which
+// announcements from it are refused.
+type formerAddress struct {
 	address string
 	until   time.Time
 }
 
-// NewRegistry returns an empty registry of an entry in the given zone.
+// NewRegistry returns an empty registry for an entry in the given zone.
 func NewRegistry(zone job.Zone, view config.View) *Registry {
 	return &Registry{
 		zone:      zone,
 		config:    view,
 		held:      make(map[job.TargetID]*lease),
 		byAddress: make(map[string]job.TargetID),
-		withdrawn: make(map[job.TargetID]departure),
-		buried:    make(map[grave]time.Time),
+		withdrawn: make(map[job.TargetID]formerAddress),
+		ended:     make(map[endedKey]time.Time),
 	}
 }
 
-// Bury refuses all further announcements of a target at an address; an empty one
-// stands for any.
+// Bury records that a target at an address has ended, so that its further
+// announcements are refused. An empty address means any address.
 func (r *Registry) Bury(now time.Time, id job.TargetID, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.held[id] == nil && len(r.buried) >= maxBuried {
+	if r.held[id] == nil && len(r.ended) >= maxEnded {
 		return
 	}
-	r.buried[grave{id, address}] = now.Add(buriedFor)
+	r.ended[endedKey{id, address}] = now.Add(endedPeriod)
 }
 
-// Buried returns how many targets are remembered as ended.
+// Buried returns the number of targets that are recorded as ended.
 func (r *Registry) Buried() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.buried)
+	return len(r.ended)
 }
 
-// isBuried reports whether a target has ended; the caller holds the lock.
-func (r *Registry) isBuried(now time.Time, t *job.Target) bool {
-	return now.Before(r.buried[grave{t.ID, ""}]) || now.Before(r.buried[grave{t.ID, t.Address}])
+// hasEnded reports whether a target is recorded as ended. The caller holds the lock.
+func (r *Registry) hasEnded(now time.Time, t *job.Target) bool {
+	return now.Before(r.ended[endedKey{t.ID, ""}]) || now.Before(r.ended[endedKey{t.ID, t.Address}])
 }
 
-// Get returns a target that is held here.
+// Get returns a held target.
 func (r *Registry) Get(id job.TargetID) (job.Target, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,21 +132,21 @@
 	return job.Target{}, false
 }
 
-// Announce takes or renews a target's lease and returns how long it holds and
-// when the target should announce again. A refused announcement changes
-// nothing.
-func (r *Registry) Announce(now time.Time, t job.Target) (lasts, renew time.Duration, err error) {
+// Announce grants or renews a target's lease. It returns the duration of the lease
+// and the time after which the target should announce itself again. A refused
+// announcement changes nothing.
+func (r *Registry) Announce(now time.Time, t job.Target) (duration, renew time.Duration, err error) {
 	if err := Check(t, r.zone); err != nil {
 		return 0, 0, errors.Trace(err)
 	}
-	lasts = r.leaseTime()
+	duration = r.leaseTime()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err := r.conflict(now, t); err != nil {
 		return 0, 0, errors.Trace(err)
 	}
-	r.put(now, t, lasts)
-	return lasts, lasts / Renewals, nil
+	r.store(now, t, duration)
+	return duration, duration / Renewals, nil
 }
 
 func (r *Registry) leaseTime() time.Duration {
@@ -159,24 +157,25 @@
 }
 
 func (r *Registry) conflict(now time.Time, t job.Target) error {
-	if r.isBuried(now, &t) {
+	if r.hasEnded(now, &t) {
 		return ErrWithdrawn
 	}
 	if d, ok := r.withdrawn[t.ID]; ok && d.address == t.Address && now.Before(d.until) {
 		return ErrWithdrawn
 	}
 	if l := r.held[t.ID]; l != nil && l.former.address == t.Address && now.Before(l.former.until) {
-		return errors.AlreadyExistsf("target %s at %s: two targets announce one id, and it", t.ID, l.target.Address)
+		return errors.AlreadyExistsf("target %s at %s (two targets announce one id)", t.ID, l.target.Address)
 	}
-	// Also while the other's lease has run out but not been ended yet: taken
-	// over here, nobody would tell the holder that the other target is gone.
+	// This also applies if the other target's lease has expired but Expire has
+	// not removed it yet. If its address were reassigned here, nobody would
+	// notify the holder that the other target is gone.
 	if other, ok := r.byAddress[t.Address]; ok && other != t.ID {
 		return errors.AlreadyExistsf("target %s at %s", other, t.Address)
 	}
 	return nil
 }
 
-func (r *Registry) put(now time.Time, t job.Target, lasts time.Duration) {
+func (r *Registry) store(now time.Time, t job.Target, duration time.Duration) {
 	delete(r.withdrawn, t.ID)
 	l := r.held[t.ID]
 	if l == nil {
@@ -184,15 +183,15 @@
 		r.held[t.ID] = l
 	}
 	if l.target.Address != "" && l.target.Address != t.Address {
-		l.former = departure{address: l.target.Address, until: l.expires}
+		l.former = formerAddress{address: l.target.Address, until: l.expires}
 		delete(r.byAddress, l.target.Address)
 	}
 	l.target = t
-	l.expires = now.Add(lasts)
+	l.expires = now.Add(duration)
 	r.byAddress[t.Address] = t.ID
 }
 
-func (r *Registry) drop(id job.TargetID) {
+func (r *Registry) remove(id job.TargetID) {
 	l := r.held[id]
 	if l == nil {
 		return
@@ -203,27 +202,27 @@
 	}
 }
 
-// Displaced returns the target that is held at the address of another one which
-// announces itself, and which has not ended itself: it is a former life there.
+// Displaced returns the held target whose address t now announces, unless t itself
+// is recorded as ended. The held target is an earlier incarnation at that address.
 func (r *Registry) Displaced(now time.Time, t *job.Target) (job.TargetID, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	former, held := r.byAddress[t.Address]
-	if r.isBuried(now, t) {
+	if r.hasEnded(now, t) {
 		return "", false
 	}
 	return former, held && former != t.ID
 }
 
-// Holds reports whether the target is held here.
+// Holds reports whether the target is held.
 func (r *Registry) Holds(id job.TargetID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.held[id] != nil
 }
 
-// Withdraw ends a target's lease at its own word and reports whether it was
-// held.
+// Withdraw ends a target's lease at the target's request. It returns the target and
+// reports whether it was held.
 func (r *Registry) Withdraw(now time.Time, id job.TargetID) (job.Target, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,12 +230,12 @@
 	if l == nil {
 		return job.Target{}, false
 	}
-	r.withdrawn[id] = departure{address: l.target.Address, until: now.Add(withdrawnFor)}
-	r.drop(id)
+	r.withdrawn[id] = formerAddress{address: l.target.Address, until: now.Add(withdrawnPeriod)}
+	r.remove(id)
 	return l.target, true
 }
 
-// Expire ends the leases that have run out and returns their targets.
+// Expire removes the targets whose leases have expired and returns them.
 func (r *Registry) Expire(now time.Time) []job.Target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -245,35 +244,36 @@
 			delete(r.withdrawn, id)
 		}
 	}
-	for id, until := range r.buried {
+	for id, until := range r.ended {
 		if !now.Before(until) {
-			delete(r.buried, id)
+			delete(r.ended, id)
 		}
 	}
-	return r.take(func(l *lease) bool { return !now.Before(l.expires) })
+	return r.removeMatching(func(l *lease) bool { return !now.Before(l.expires) })
 }
 
-// Release gives up the targets for which keep is false, since another entry
-// now holds them, and returns them, so that they can be passed on.
+// Release removes the targets for which keep returns false, since another entry now
+// holds them. It returns them so that they can be passed on.
 func (r *Registry) Release(keep func(*job.Target) bool) []job.Target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.take(func(l *lease) bool { return !keep(&l.target) })
+	return r.removeMatching(func(l *lease) bool { return !keep(&l.target) })
 }
 
-// take drops and returns the leases that match, ordered by id.
-func (r *Registry) take(match func(*lease) bool) []job.Target {
+// removeMatching removes the leases that match and returns their targets, ordered by
+// id.
+func (r *Registry) removeMatching(match func(*lease) bool) []job.Target {
 	var out []job.Target
 	for id, l := range r.held {
 		if match(l) {
 			out = append(out, l.target)
-			r.drop(id)
+			r.remove(id)
 		}
 	}
-	return ordered(out)
+	return sortByID(out)
 }
 
-// Held returns the targets under a lease, ordered by id.
+// Held returns the held targets, ordered by id.
 func (r *Registry) Held() []job.Target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -281,15 +281,15 @@
 	for _, l := range r.held {
 		out = append(out, l.target)
 	}
-	return ordered(out)
+	return sortByID(out)
 }
 
-func ordered(ts []job.Target) []job.Target {
+func sortByID(ts []job.Target) []job.Target {
 	sort.Slice(ts, func(i, j int) bool { return ts[i].ID < ts[j].ID })
 	return ts
 }
 
-// Check reports what is wrong with an announcement to an entry of the zone.
+// Check validates an announcement to an entry in the given zone.
 func Check(t job.Target, zone job.Zone) error {
 	if err := CheckID(t.ID); err != nil {
 		return err
@@ -301,7 +301,7 @@
 		return err
 	}
 	if t.Zone != zone {
-		return errors.NotValidf("availability_zone %q: this entry is in %q, and it", t.Zone, zone)
+		return errors.NotValidf("availability_zone %q (this entry is in %q)", t.Zone, zone)
 	}
 	if err := checkName("availability_zone", string(t.Zone)); err != nil {
 		return err
@@ -314,7 +314,7 @@
 	return checkAmounts(t)
 }
 
-// CheckID reports what is wrong with the name of a target.
+// CheckID validates the id of a target.
 func CheckID(id job.TargetID) error { return checkName("id", string(id)) }
 
 func checkName(what, name string) error {
@@ -348,7 +348,7 @@
 		{"slots", t.Slots, maxSlots},
 		{"connections", t.Connections, maxConnections},
 		{"processors", t.Processors, maxProcessors},
-		{"milli_processors", t.MilliProcessors, milli * maxProcessors},
+		{"milli_processors", t.MilliProcessors, milliPerProcessor * maxProcessors},
 		{"memory_mb", t.MemoryMB, maxMemoryMB},
 		{"accelerators", t.Accelerators, maxAccelerators},
 		{"running", t.Running, maxSlots},
--- a/internal/target/registry_test.go
+++ b/internal/target/registry_test.go
@@ -13,11 +13,11 @@
 
 var start = time.Unix(1000, 0)
 
-func at(seconds float64) time.Time {
+func atSecond(seconds float64) time.Time {
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func sample(id job.TargetID, address string) job.Target {
+func testTarget(id job.TargetID, address string) job.Target {
 	return job.Target{ID: id, Pool: "thumbs", Address: address, Zone: "a", Slots: 8, Connections: 64}
 }
 
@@ -29,9 +29,9 @@
 	return out
 }
 
-// A target with a wrong setting announces itself. Taken as it is, it would
-// draw tasks that fail or pile up; refused without a word, its operator would
-// look for the fault elsewhere.
+// A target with a wrong setting announces itself. If it were accepted, tasks would
+// fail or pile up there. The refusal must name the wrong value, so that the operator
+// finds the fault.
 func TestBadAnnouncementsAreRefusedByName(t *testing.T) {
 	cases := map[string]func(*job.Target){
 		"announcement without id":      func(t *job.Target) { t.ID = "" },
@@ -55,11 +55,11 @@
 		"accelerators -1":              func(t *job.Target) { t.Accelerators = -1 },
 		"running -1":                   func(t *job.Target) { t.Running = -1 },
 	}
-	for want, spoil := range cases {
+	for want, setInvalid := range cases {
 		t.Run(want, func(t *testing.T) {
 			r := NewRegistry("a", config.Fixed{})
-			bad := sample("t1", "10.0.0.1:80")
-			spoil(&bad)
+			bad := testTarget("t1", "10.0.0.1:80")
+			setInvalid(&bad)
 			_, _, err := r.Announce(start, bad)
 			qt.Assert(t, err, qt.ErrorMatches, want+".* not valid")
 			qt.Assert(t, r.Held(), qt.HasLen, 0)
@@ -67,49 +67,49 @@
 	}
 }
 
-// A target dies without a word. Its lease must end by itself, and one that
-// goes on announcing must never lose its lease; the configuration's lease
-// counts from the next announcement.
+// A target dies without withdrawing. Its lease must expire by itself, while a target
+// that keeps announcing itself must never lose its lease. The lease time is that of
+// the configuration.
 func TestLeasesLapseUnlessRenewed(t *testing.T) {
 	r := NewRegistry("a", config.Fixed{File: &config.File{Targets: config.TargetDefaults{Lease: 3 * time.Second}}})
-	for _, announced := range []job.Target{sample("dies", "10.0.0.1:81"), sample("lives", "10.0.0.1:82")} {
+	for _, announced := range []job.Target{testTarget("dies", "10.0.0.1:81"), testTarget("lives", "10.0.0.1:82")} {
 		lasts, renew, err := r.Announce(start, announced)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, lasts, qt.Equals, 3*time.Second)
 		qt.Assert(t, renew, qt.Equals, time.Second)
 	}
-	_, _, err := r.Announce(at(2), sample("lives", "10.0.0.1:82"))
+	_, _, err := r.Announce(atSecond(2), testTarget("lives", "10.0.0.1:82"))
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, r.Expire(at(2.9)), qt.HasLen, 0)
-	qt.Assert(t, ids(r.Expire(at(3))), qt.DeepEquals, []job.TargetID{"dies"})
+	qt.Assert(t, r.Expire(atSecond(2.9)), qt.HasLen, 0)
+	qt.Assert(t, ids(r.Expire(atSecond(3))), qt.DeepEquals, []job.TargetID{"dies"})
 	qt.Assert(t, ids(r.Held()), qt.DeepEquals, []job.TargetID{"lives"})
-	_, _, err = r.Announce(at(4), sample("dies", "10.0.0.1:81"))
+	_, _, err = r.Announce(atSecond(4), testTarget("dies", "10.0.0.1:81"))
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// A target withdraws through one entry while its last renewal is still on its
-// way through another. Coming second, the renewal would bring the target back
-// for a lease. After a second the target may return, and at another address at
-// once: that is a new process.
+// A target withdraws through one entry while its last renewal is still in transit
+// through another. If the renewal arrived second, it would restore the target for a
+// lease. The target may return after a second, or immediately at another address,
+// because that is a new process.
 func TestRenewalAfterWithdrawalDoesNotBringTheTargetBack(t *testing.T) {
 	r := NewRegistry("a", config.Fixed{})
-	_, _, _ = r.Announce(start, sample("t1", "10.0.0.1:80"))
-	_, held := r.Withdraw(at(1), "t1")
+	_, _, _ = r.Announce(start, testTarget("t1", "10.0.0.1:80"))
+	_, held := r.Withdraw(atSecond(1), "t1")
 	qt.Assert(t, held, qt.IsTrue)
-	_, held = r.Withdraw(at(1), "t1")
+	_, held = r.Withdraw(atSecond(1), "t1")
 	qt.Assert(t, held, qt.IsFalse)
-	_, _, err := r.Announce(at(1.1), sample("t1", "10.0.0.1:80"))
+	_, _, err := r.Announce(atSecond(1.1), testTarget("t1", "10.0.0.1:80"))
 	qt.Assert(t, errors.Is(err, ErrWithdrawn), qt.IsTrue)
-	_, _, err = r.Announce(at(1.2), sample("t1", "10.0.0.1:81"))
+	_, _, err = r.Announce(atSecond(1.2), testTarget("t1", "10.0.0.1:81"))
 	qt.Assert(t, err, qt.IsNil)
-	_, _ = r.Withdraw(at(2), "t1")
-	_, _, err = r.Announce(at(3), sample("t1", "10.0.0.1:81"))
+	_, _ = r.Withdraw(atSecond(2), "t1")
+	_, _, err = r.Announce(atSecond(3), testTarget("t1", "10.0.0.1:81"))
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// A target restarts on another port, or two machines were given one id, or one
-// process announces two ids. The first must work at once; the others would
-// move the target back and forth, or give one process twice its slots.
+// A target restarts on another port, two machines have the same id, or one process
+// announces two ids. The first case must work immediately. The others must be refused,
+// because the target would move back and forth or one process would count twice.
 func TestMovesAndConflicts(t *testing.T) {
 	r := NewRegistry("a", config.Fixed{})
 	steps := []struct {
@@ -129,7 +129,7 @@
 		{7, "t4", "10.0.0.1:80", "target t2 at 10.0.0.1:80 already exists", "10.0.0.1:82"},
 	}
 	for _, s := range steps {
-		_, _, err := r.Announce(at(s.at), sample(s.id, s.address))
+		_, _, err := r.Announce(atSecond(s.at), testTarget(s.id, s.address))
 		if s.want == "" {
 			qt.Assert(t, err, qt.IsNil)
 		} else {
@@ -137,7 +137,7 @@
 		}
 		qt.Assert(t, r.Held()[0].Address, qt.Equals, s.heldAddress)
 	}
-	gone := r.Release(func(held *job.Target) bool { return held.ID == "t1" })
-	qt.Assert(t, ids(gone), qt.DeepEquals, []job.TargetID{"t2", "t3"})
+	released := r.Release(func(held *job.Target) bool { return held.ID == "t1" })
+	qt.Assert(t, ids(released), qt.DeepEquals, []job.TargetID{"t2", "t3"})
 	qt.Assert(t, ids(r.Held()), qt.DeepEquals, []job.TargetID{"t1"})
 }
--- a/internal/target/start.go
+++ b/internal/target/start.go
@@ -17,24 +17,25 @@
 )
 
 const (
-	// maxStale bounds how many dead idle connections one task may run into.
-	// Each is closed by the attempt; a target that restarted leaves as many as
-	// it has slots, but the transport finds most of them by itself.
-	maxStale = 4
-	// maxDetail bounds how much of a failing answer is quoted, in bytes.
-	maxDetail = 200
-	// readAhead is how much memory an answer gets on the word of its header
-	// alone, in bytes; more only as it arrives. Otherwise targets that announce
-	// large answers and send nothing could take all of the memory.
-	readAhead = 64 << 10
-	// stopTimeout bounds one request to stop a task.
+	// maxStaleRetries bounds how many dead idle connections one start may try.
+	// Each attempt closes one. A target that restarted leaves as many dead
+	// connections as it has slots, but the transport detects most of them.
+	maxStaleRetries = 4
+	// maxDetailBytes bounds how much of a failure answer is quoted.
+	maxDetailBytes = 200
+	// maxPreallocBytes bounds the memory that is allocated for an answer because
+	// of its Content-Length alone. More is allocated only as data arrives.
+	// Otherwise, targets that declare large answers and send nothing could
+	// exhaust the memory.
+	maxPreallocBytes = 64 << 10
+	// stopTimeout bounds a request to stop a task.
 	stopTimeout = 2 * time.Second
 )
 
-// errNoAnswer ends a task that took longer than the client waits.
-const errNoAnswer = errors.ConstError("no answer from the target within the longest run time")
+// errMaxRun ends the wait for a task that exceeds ClientOptions.MaxRun.
+const errMaxRun = errors.ConstError("no answer from the target within the maximum run time")
 
-// Refusal says what kind of "not started" it was, since each is met
+// Refusal is the reason why a task was not started. Each reason is handled
 // differently.
 type Refusal uint8
 
@@ -42,106 +43,107 @@
 const (
 	// NoRefusal is set on tasks that may have started.
 	NoRefusal Refusal = iota
-	// Unreachable says that nothing could be sent to the target.
+	// Unreachable means that nothing could be sent to the target.
 	Unreachable
-	// Busy says that the target has no free slot (429).
+	// Busy means that the target has no free slot (429).
 	Busy
-	// Leaving says that the target takes no more work (503).
+	// Leaving means that the target is draining and accepts no more work (503).
 	Leaving
-	// Unanswered says that the target answers, and never took a start that was
-	// sent to it.
+	// Unanswered means that the target responds, but never received a start
+	// request that was sent to it.
 	Unanswered
-	// Abandoned says that the dispatcher gave up before it sent anything.
+	// Abandoned means that the dispatcher cancelled the start before it sent
+	// anything.
 	Abandoned
-	// NoRoom says that the target has less room than the task takes beside what runs there.
+	// NoRoom means that the target has too little free capacity for the task.
 	NoRoom
 )
 
-// Task is one task to start.
+// Task is a task to start.
 type Task struct {
 	Submission job.ID
 	Index      int
 	Payload    []byte
-	// Single marks a payload and an answer that are opaque bytes, not JSON.
+	// Single means that payload and answer are opaque bytes instead of JSON.
 	Single bool
-	// Run numbers the starts of the task from 1, for targets that take orders.
+	// Run numbers the starts of the task from 1, for targets that accept start
+	// requests.
 	Run int
-	// Expected is how long the run is expected to take; zero where that is not
-	// known.
+	// Expected is the expected duration of the run; zero if unknown.
 	Expected time.Duration
-	// Wanted is asked right before the start is sent; nil says that it is wanted
-	// for certain. A start that overtakes the stop which was sent after it would
-	// otherwise run to its end for nobody.
+	// Wanted is called right before the start request is sent and reports whether
+	// the task is still wanted; nil means always. Without it, a start could reach
+	// the target after the stop of the same task, and the task would run to its
+	// end for nobody.
 	Wanted func() bool
-	// Left returns for how long the run may go on at most unless that is said anew; nil
-	// sets no bound.
+	// Left returns how long the run may still go on unless that is extended; nil
+	// means no limit.
 	Left func() time.Duration
 }
 
-// Unwanted reports whether nobody waits for the task any more.
+// Unwanted reports whether nobody waits for the task anymore.
 func (t *Task) Unwanted() bool { return t.Wanted != nil && !t.Wanted() }
 
-// Withdrawn is the result of a task that was unwanted before anything of it was
-// sent.
+// Withdrawn returns the result of a task that was cancelled before anything was sent.
 func Withdrawn() Result {
-	return Result{Status: job.TaskNotStarted, Reason: job.CancelledByCall, Refusal: Abandoned, Detail: "taken back before the start was sent"}
+	return Result{Status: job.TaskNotStarted, Reason: job.CancelledByCall, Refusal: Abandoned, Detail: "cancelled before the start request was sent"}
 }
 
-// Result is how a task ended on its target.
+// Result is the outcome of a task on its target.
 type Result struct {
 	Status  job.TaskStatus
 	Reason  job.Reason
 	Detail  string
 	Payload []byte
-	// Refusal is set with job.TaskNotStarted only.
+	// Refusal is set only with job.TaskNotStarted.
 	Refusal Refusal
 	Ran     time.Duration
-	// Over is set with job.TaskErred where the run has provably ended, so that
-	// the task may run once more without ever running twice at a time.
+	// Over is set with job.TaskErred if the run has provably ended. The task can
+	// then run again without two runs overlapping.
 	Over bool
-	// TargetEnded is set with Over where the target is known to have ended while the task
-	// ran on it, TargetSilent where it was silent until the run was over.
+	// TargetEnded is set with Over if the target is known to have ended while it ran the
+	// task, TargetSilent if the target was unresponsive until the run had ended.
 	TargetEnded, TargetSilent bool
 }
 
-// Start runs one task on the target and waits for its end. The request is
-// written at most once. TaskNotStarted is returned only when no byte of it was
-// written, or on the target's own word.
+// Start runs a task on the target and waits for its end. The request is written at
+// most once. Start returns TaskNotStarted only if no byte of the request was written
+// or the target states that the task did not start.
 func (l *Link) Start(ctx context.Context, t Task) Result {
 	begun := time.Now()
-	bounded, cancel := context.WithTimeoutCause(ctx, l.opts.MaxRun, errNoAnswer)
+	bounded, cancel := context.WithTimeoutCause(ctx, l.opts.MaxRun, errMaxRun)
 	defer cancel()
-	res := l.try(bounded, t)
+	res := l.startWithRetry(bounded, t)
 	res.Ran = time.Since(begun)
 	return res
 }
 
-// try sends the request again only after an attempt that met a dead idle
+// startWithRetry sends the request again only if the attempt used a dead idle
 // connection and wrote nothing.
-func (l *Link) try(ctx context.Context, t Task) Result {
+func (l *Link) startWithRetry(ctx context.Context, t Task) Result {
 	for attempt := 1; ; attempt++ {
-		f := &flight{unwanted: t.Unwanted}
-		resp, err := l.transport.RoundTrip(l.request(httptrace.WithClientTrace(ctx, f.trace()), t))
+		tracker := &requestTracker{isUnwanted: t.Unwanted}
+		resp, err := l.transport.RoundTrip(l.startRequest(httptrace.WithClientTrace(ctx, tracker.trace()), t))
 		if err == nil {
-			return l.read(resp, t)
+			return l.readResponse(resp, t)
 		}
-		unsent := f.unsent()
-		if unsent && f.withdrawn() {
+		unsent := tracker.unsent()
+		if unsent && tracker.cancelled() {
 			return Withdrawn()
 		}
-		if unsent && f.stale() && attempt <= maxStale && ctx.Err() == nil {
+		if unsent && tracker.reusedConn() && attempt <= maxStaleRetries && ctx.Err() == nil {
 			continue
 		}
-		return failed(ctx, err, unsent)
+		return failedResult(ctx, err, unsent)
 	}
 }
 
-// request builds the request. It goes to the transport and not through
-// http.Client, which would follow a 307 and post the task a second time. The
-// body has no GetBody and the header no idempotency key, either of which would
-// let the transport replay the request by itself.
-func (l *Link) request(ctx context.Context, t Task) *http.Request {
-	req := l.bare(ctx, http.MethodPost, t.Submission, t.Index)
+// startRequest returns the request that starts a task. It must be passed to the
+// transport and not to http.Client, which would follow a 307 and post the task a
+// second time. The request has neither GetBody nor an idempotency key, because
+// either would let the transport replay it.
+func (l *Link) startRequest(ctx context.Context, t Task) *http.Request {
+	req := l.newRequest(ctx, http.MethodPost, t.Submission, t.Index)
 	req.Header.Set("Content-Type", contentType(t.Single))
 	req.Body = io.NopCloser(bytes.NewReader(t.Payload))
 	req.ContentLength = int64(len(t.Payload))
@@ -158,7 +160,7 @@
 	return "application/json"
 }
 
-func (l *Link) bare(ctx context.Context, method string, submission job.ID, index int) *http.Request {
+func (l *Link) newRequest(ctx context.Context, method string, submission job.ID, index int) *http.Request {
 	number := strconv.Itoa(index)
 	req := &http.Request{
 		Method: method,
@@ -177,10 +179,10 @@
 	return req.WithContext(ctx)
 }
 
-func failed(ctx context.Context, err error, unsent bool) Result {
+func failedResult(ctx context.Context, err error, unsent bool) Result {
 	res := Result{Status: job.TaskErred, Reason: job.TargetLost, Detail: err.Error()}
 	switch {
-	case unsent && ctx.Err() != nil && !errors.Is(context.Cause(ctx), errNoAnswer):
+	case unsent && ctx.Err() != nil && !errors.Is(context.Cause(ctx), errMaxRun):
 		res.Status, res.Refusal = job.TaskNotStarted, Abandoned
 	case unsent:
 		res.Status, res.Refusal = job.TaskNotStarted, Unreachable
@@ -191,25 +193,25 @@
 	return res
 }
 
-// read turns an answer into a result. Whatever is odd about it ends as "may
-// have run"; the connection is then closed, so that what is left of an answer
-// can't be taken for the next one.
-func (l *Link) read(resp *http.Response, t Task) Result {
+// readResponse converts an answer to a result. After any unexpected answer, the task
+// counts as one that may have run. The connection is then closed, so that the rest of
+// the answer can't be mistaken for the next one.
+func (l *Link) readResponse(resp *http.Response, t Task) Result {
 	defer func() { _ = resp.Body.Close() }()
 	if refusal := refusalOf(resp); refusal != NoRefusal {
-		detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxDetail))
+		detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxDetailBytes))
 		return Result{Status: job.TaskNotStarted, Reason: job.TargetRefused, Refusal: refusal, Detail: string(detail)}
 	}
 	if echo := resp.Header.Get(HeaderTask); echo != "" && echo != TaskName(t.Submission, t.Index) {
-		return erred(job.TargetLost, "the target answered for task "+echo)
+		return erredResult(job.TargetLost, "the target answered for task "+echo)
 	}
 	if resp.StatusCode/100 != 2 {
-		detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxDetail))
-		return erred(job.TaskFailed, "the target answered "+resp.Status+": "+string(detail))
+		detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxDetailBytes))
+		return erredResult(job.TaskFailed, "the target answered "+resp.Status+": "+string(detail))
 	}
-	body, err := l.body(resp)
+	body, err := l.readBody(resp)
 	if err != nil {
-		return erred(job.TargetLost, err.Error())
+		return erredResult(job.TargetLost, err.Error())
 	}
 	if t.Single {
 		return Result{Status: job.TaskDone, Payload: body}
@@ -218,7 +220,7 @@
 		body = []byte("null")
 	}
 	if !json.Valid(body) {
-		return erred(job.TaskFailed, "the target's answer is not JSON")
+		return erredResult(job.TaskFailed, "the target's answer is not JSON")
 	}
 	return Result{Status: job.TaskDone, Payload: body}
 }
@@ -236,17 +238,17 @@
 	return NoRefusal
 }
 
-func erred(reason job.Reason, detail string) Result {
+func erredResult(reason job.Reason, detail string) Result {
 	return Result{Status: job.TaskErred, Reason: reason, Detail: detail}
 }
 
-// body reads a whole answer. An answer that only the end of its connection
-// delimits is refused: cut off half-way it would look whole.
-func (l *Link) body(resp *http.Response) ([]byte, error) {
+// readBody reads a whole answer. An answer that is delimited only by the end of its
+// connection is rejected, because a truncated one would look complete.
+func (l *Link) readBody(resp *http.Response) ([]byte, error) {
 	switch n := resp.ContentLength; {
 	case n > l.opts.MaxAnswer:
-		return nil, errors.Errorf("the answer of %d bytes is over the bound of %d", n, l.opts.MaxAnswer)
-	case n >= 0 && n <= readAhead:
+		return nil, errors.Errorf("the answer of %d bytes exceeds the limit of %d", n, l.opts.MaxAnswer)
+	case n >= 0 && n <= maxPreallocBytes:
 		body := make([]byte, n)
 		_, err := io.ReadFull(resp.Body, body)
 		return body, errors.Annotate(err, "the answer broke off")
@@ -255,27 +257,27 @@
 		_, err := io.CopyN(body, resp.Body, n)
 		return body.Bytes(), errors.Annotate(err, "the answer broke off")
 	case len(resp.TransferEncoding) == 0:
-		return nil, errors.New("the answer has neither a length nor chunks")
+		return nil, errors.New("the answer has neither a content length nor chunked encoding")
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, l.opts.MaxAnswer+1))
 	if err != nil {
 		return nil, errors.Annotate(err, "the answer broke off")
 	}
 	if int64(len(body)) > l.opts.MaxAnswer {
-		return nil, errors.Errorf("the answer is over the bound of %d bytes", l.opts.MaxAnswer)
+		return nil, errors.Errorf("the answer exceeds the limit of %d bytes", l.opts.MaxAnswer)
 	}
 	return body, nil
 }
 
 // Stop asks the target to stop a task. Nothing depends on its success: a task
-// that goes on keeps its slot until it ends.
+// that keeps running keeps its slot until it ends.
 func (l *Link) Stop(ctx context.Context, submission job.ID, index int) error {
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	resp, err := l.transport.RoundTrip(l.bare(ctx, http.MethodDelete, submission, index))
+	resp, err := l.transport.RoundTrip(l.newRequest(ctx, http.MethodDelete, submission, index))
 	if err != nil {
 		return errors.Annotatef(err, "stop of %s", TaskName(submission, index))
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDetail))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDetailBytes))
 	return errors.Trace(resp.Body.Close())
 }
--- a/internal/target/silence_linux_test.go
+++ b/internal/target/usertimeout_linux_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A target's machine loses power: no FIN, no RST, no acknowledgement. Only the
-// socket's own limits end the wait; without them its jobs hang for minutes.
+// A target's machine loses power and sends no FIN, RST or acknowledgement. Only the
+// socket's own timeouts end the wait; without them, its jobs would hang for minutes.
 func TestConnectionsGiveUpOnSilence(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -19,7 +19,7 @@
 	defer func() { _ = c.Close() }()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	qt.Assert(t, err, qt.IsNil)
-	limit := int(silentTimeout.Milliseconds())
+	limit := int(unresponsiveTimeout.Milliseconds())
 	qt.Assert(t, raw.Control(func(fd uintptr) {
 		options := []struct{ level, option, want int }{
 			{syscall.IPPROTO_TCP, tcpUserTimeout, limit},
