--- a/internal/load/counters.go
+++ b/internal/load/counters.go
@@ -11,12 +11,12 @@
 	"github.com/vanillagrade/vanillagrade/internal/standin"
 )
 
-// counterTimeout bounds one reading of counters.
+// counterTimeout bounds one request for counters.
 const counterTimeout = 2 * time.Second
 
-// The names of the entries' counters in /debug/vars. Each is a map by kind of
-// message. Useful is a message that carries a task, a result or an answer;
-// wasted is every other one: control, retransmission, refusal of a hand-over.
+// Names of the entries' counters in /debug/vars. Each counter is a map by kind
+// of message. A useful message carries a task, a result or an answer. Every
+// other message is wasted: control, a retransmission, a refused hand-over.
 const (
 	varMessagesUseful = "messages_useful"
 	varMessagesWasted = "messages_wasted"
@@ -24,7 +24,8 @@
 	varBytesWasted    = "bytes_wasted"
 )
 
-func (r *runner) read(ctx context.Context, address, path string, into any) error {
+// getJSON requests a path from an address and decodes the answer into a value.
+func (r *runner) getJSON(ctx context.Context, address, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, counterTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
@@ -44,13 +45,13 @@
 	return errors.Trace(json.Unmarshal(body, into))
 }
 
-// targetCounters sums the stand-ins' counters; false means that one of them
-// could not be read, so that the sum proves nothing.
+// targetCounters sums the counters of the stand-ins. It returns false if it
+// could not read all of them: the sum is then incomplete.
 func (r *runner) targetCounters(ctx context.Context) (standin.Counters, bool) {
 	var sum standin.Counters
 	for _, address := range r.opts.Targets {
 		var c standin.Counters
-		if err := r.read(ctx, address, "/v1/counters", &c); err != nil {
+		if err := r.getJSON(ctx, address, "/v1/counters", &c); err != nil {
 			return sum, false
 		}
 		sum.Starts += c.Starts
@@ -59,24 +60,26 @@
 	return sum, len(r.opts.Targets) > 0
 }
 
-// messageCounters sums the counters of all entries.
+// messageCounters sums the message counters of all entries. It returns false if
+// it could not read all of them.
 func (r *runner) messageCounters(ctx context.Context) (Messages, bool) {
 	sum := Messages{ByKind: map[string]int64{}}
 	for _, address := range r.opts.Operators {
 		var vars map[string]json.RawMessage
-		if err := r.read(ctx, address, "/debug/vars", &vars); err != nil {
+		if err := r.getJSON(ctx, address, "/debug/vars", &vars); err != nil {
 			return sum, false
 		}
-		sum.Useful += sumVar(vars[varMessagesUseful], sum.ByKind)
-		sum.Wasted += sumVar(vars[varMessagesWasted], sum.ByKind)
-		sum.UsefulBytes += sumVar(vars[varBytesUseful], nil)
-		sum.WastedBytes += sumVar(vars[varBytesWasted], nil)
+		sum.Useful += sumCounters(vars[varMessagesUseful], sum.ByKind)
+		sum.Wasted += sumCounters(vars[varMessagesWasted], sum.ByKind)
+		sum.UsefulBytes += sumCounters(vars[varBytesUseful], nil)
+		sum.WastedBytes += sumCounters(vars[varBytesWasted], nil)
 	}
 	return sum, len(r.opts.Operators) > 0
 }
 
-// sumVar adds up one expvar map, and its parts into kinds.
-func sumVar(raw json.RawMessage, kinds map[string]int64) int64 {
+// sumCounters returns the sum of one expvar map and adds each of its values to
+// kinds, unless kinds is nil.
+func sumCounters(raw json.RawMessage, kinds map[string]int64) int64 {
 	var parts map[string]int64
 	if json.Unmarshal(raw, &parts) != nil {
 		return 0
@@ -91,6 +94,7 @@
 	return sum
 }
 
+// since returns the difference between m and the earlier counts.
 func (m Messages) since(before Messages) Messages {
 	m.Useful -= before.Useful
 	m.Wasted -= before.Wasted
--- a/internal/load/exchange.go
+++ b/internal/load/exchange.go
@@ -17,10 +17,10 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// maxAnswerBytes bounds one answer that the load tool reads.
+// maxAnswerBytes bounds the body of one answer.
 const maxAnswerBytes = 256 << 20
 
-// payload is what a stand-in target reads; it echoes the nonce.
+// payload is the task payload for a stand-in target, which echoes the nonce.
 type payload struct {
 	SleepMillis int64  `json:"sleep_ms"`
 	Nonce       string `json:"nonce"`
@@ -28,21 +28,21 @@
 	Filling     string `json:"filling,omitempty"`
 }
 
-// echo is the part of a stand-in's answer that is checked.
+// echo is the part of a stand-in's answer that the load tool checks.
 type echo struct {
 	Nonce string `json:"nonce"`
 }
 
-func (r *runner) id(a *Arrival) string { return fmt.Sprintf("%s-%d", r.prefix, a.Number) }
+func (r *runner) jobID(a *Arrival) string { return fmt.Sprintf("%s-%d", r.prefix, a.Number) }
 
-// nonce names one task of the run. A result that carries another one was meant
-// for somebody else.
+// nonce identifies one task of the run. A result with another nonce belongs to
+// another task.
 func (r *runner) nonce(a *Arrival, task int) string {
-	return fmt.Sprintf("%s/%d", r.id(a), task)
+	return fmt.Sprintf("%s/%d", r.jobID(a), task)
 }
 
 func (r *runner) payload(a *Arrival, task int) json.RawMessage {
-	// The payload is made of numbers and plain text: it always encodes.
+	// Encoding can't fail: the payload holds only numbers and plain text.
 	body, _ := json.Marshal(payload{
 		SleepMillis: a.Tasks[task].Run.Milliseconds(),
 		Nonce:       r.nonce(a, task),
@@ -52,8 +52,8 @@
 	return body
 }
 
-// exchange sends the job to the entry and judges the answer.
-func (r *runner) exchange(ctx context.Context, entry string, a *Arrival) outcome {
+// sendJob sends the job to the entry and checks the answer.
+func (r *runner) sendJob(ctx context.Context, entry string, a *Arrival) jobResult {
 	var req *http.Request
 	var err error
 	if a.Stream.Single {
@@ -66,22 +66,22 @@
 	}
 	status, header, body, err := r.do(req)
 	if err != nil {
-		r.gather.fault(&r.gather.checks.Unanswered, fmt.Sprintf("job %s: %v", r.id(a), err))
-		return outcome{reason: reasonNoAnswer}
+		r.collector.recordFault(&r.collector.checks.Unanswered, fmt.Sprintf("job %s: %v", r.jobID(a), err))
+		return jobResult{reason: reasonNoAnswer}
 	}
 	if status != http.StatusOK {
-		return r.judgeOther(a, status, body)
+		return r.checkOtherAnswer(a, status, body)
 	}
 	if a.Stream.Single {
-		return r.judgeSingle(a, header, body)
+		return r.checkSingleAnswer(a, header, body)
 	}
-	return r.judgeJob(a, body)
+	return r.checkJobAnswer(a, body)
 }
 
 func (r *runner) jobRequest(ctx context.Context, entry string, a *Arrival) (*http.Request, error) {
 	st := a.Stream
 	body := api.JobRequest{
-		ID: r.id(a), Team: a.Team, Service: st.Service, Attempt: 1,
+		ID: r.jobID(a), Team: a.Team, Service: st.Service, Attempt: 1,
 		DeadlineMS: st.Deadline.Milliseconds(), Tasks: make([]job.TaskSpec, len(a.Tasks)),
 	}
 	for i := range a.Tasks {
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	req.Header.Set(api.HeaderID, r.id(a))
+	req.Header.Set(api.HeaderID, r.jobID(a))
 	req.Header.Set(api.HeaderAttempt, "1")
 	if a.Team != "" {
 		req.Header.Set(api.HeaderTeam, a.Team)
@@ -132,57 +132,61 @@
 	return resp.StatusCode, resp.Header, body, nil
 }
 
-// cancel takes the job back; a failure to do so leaves it to end by itself.
+// cancel asks the entry to cancel the job. If the request fails, the job runs
+// to its end.
 func (r *runner) cancel(ctx context.Context, entry string, a *Arrival) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+entry+"/v1/jobs/"+url.PathEscape(r.id(a)), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+entry+"/v1/jobs/"+url.PathEscape(r.jobID(a)), nil)
 	if err == nil {
 		_, _, _, _ = r.do(req)
 	}
 }
 
-func (r *runner) unreadable(a *Arrival, err error) outcome {
-	r.gather.fault(&r.gather.checks.Unreadable, fmt.Sprintf("job %s: %v", r.id(a), err))
-	return outcome{reason: reasonUnreadable}
+// unreadable records an answer that the load tool could not decode.
+func (r *runner) unreadable(a *Arrival, err error) jobResult {
+	r.collector.recordFault(&r.collector.checks.Unreadable, fmt.Sprintf("job %s: %v", r.jobID(a), err))
+	return jobResult{reason: reasonUnreadable}
 }
 
-// judgeJob checks that a complete answer holds each result once, each its own.
-func (r *runner) judgeJob(a *Arrival, body []byte) outcome {
+// checkJobAnswer checks that a complete answer holds the result of each task
+// once, in order and with the task's nonce.
+func (r *runner) checkJobAnswer(a *Arrival, body []byte) jobResult {
 	var answer api.CompleteAnswer
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return r.unreadable(a, err)
 	}
-	if answer.Outcome != job.Complete || string(answer.ID) != r.id(a) {
+	if answer.Outcome != job.Complete || string(answer.ID) != r.jobID(a) {
 		return r.unreadable(a, errors.Errorf("status 200 with id %q and outcome %q", answer.ID, answer.Outcome))
 	}
 	if len(answer.Results) != len(a.Tasks) {
-		r.gather.fault(&r.gather.checks.Partial, fmt.Sprintf("job %s: %d results of %d tasks", r.id(a), len(answer.Results), len(a.Tasks)))
+		r.collector.recordFault(&r.collector.checks.Partial, fmt.Sprintf("job %s: %d results of %d tasks", r.jobID(a), len(answer.Results), len(a.Tasks)))
 	}
 	for i, result := range answer.Results {
 		if result.Task != i {
-			r.gather.fault(&r.gather.checks.Crossed, fmt.Sprintf("job %s: result %d stands at place %d", r.id(a), result.Task, i))
+			r.collector.recordFault(&r.collector.checks.Crossed, fmt.Sprintf("job %s: result %d is at position %d", r.jobID(a), result.Task, i))
 		}
 		r.checkEcho(a, result.Task, result.Payload)
 	}
-	return outcome{verdict: verdictComplete, late: answer.Late}
+	return jobResult{outcome: outcomeComplete, late: answer.Late}
 }
 
-func (r *runner) judgeSingle(a *Arrival, header http.Header, body []byte) outcome {
-	if got := header.Get(api.HeaderID); got != r.id(a) {
-		r.gather.fault(&r.gather.checks.Crossed, fmt.Sprintf("request %s: the answer's id is %q", r.id(a), got))
+func (r *runner) checkSingleAnswer(a *Arrival, header http.Header, body []byte) jobResult {
+	if got := header.Get(api.HeaderID); got != r.jobID(a) {
+		r.collector.recordFault(&r.collector.checks.Crossed, fmt.Sprintf("request %s: the answer's id is %q", r.jobID(a), got))
 	}
 	r.checkEcho(a, 0, body)
-	return outcome{verdict: verdictComplete, late: header.Get(api.HeaderLate) == "true"}
+	return jobResult{outcome: outcomeComplete, late: header.Get(api.HeaderLate) == "true"}
 }
 
 func (r *runner) checkEcho(a *Arrival, task int, result []byte) {
 	var got echo
 	err := json.Unmarshal(result, &got)
 	if want := r.nonce(a, task); err != nil || got.Nonce != want {
-		r.gather.fault(&r.gather.checks.Crossed, fmt.Sprintf("task %s: its result carries %q", want, got.Nonce))
+		r.collector.recordFault(&r.collector.checks.Crossed, fmt.Sprintf("task %s: its result carries nonce %q", want, got.Nonce))
 	}
 }
 
-func (r *runner) judgeOther(a *Arrival, status int, body []byte) outcome {
+// checkOtherAnswer checks an answer other than a complete one.
+func (r *runner) checkOtherAnswer(a *Arrival, status int, body []byte) jobResult {
 	var answer api.OtherAnswer
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return r.unreadable(a, errors.Annotatef(err, "status %d", status))
@@ -192,11 +196,11 @@
 	default:
 		return r.unreadable(a, errors.Errorf("status %d with outcome %q", status, answer.Outcome))
 	}
-	if answer.ID != "" && string(answer.ID) != r.id(a) {
-		r.gather.fault(&r.gather.checks.Crossed, fmt.Sprintf("job %s: the answer's id is %q", r.id(a), answer.ID))
+	if answer.ID != "" && string(answer.ID) != r.jobID(a) {
+		r.collector.recordFault(&r.collector.checks.Crossed, fmt.Sprintf("job %s: the answer's id is %q", r.jobID(a), answer.ID))
 	}
-	return outcome{
-		verdict: string(answer.Outcome),
+	return jobResult{
+		outcome: string(answer.Outcome),
 		reason:  string(answer.Reason),
 		notRun:  answer.Run == job.NotRun().String(),
 	}
--- a/internal/load/hindsight.go
+++ b/internal/load/hindsight.go
@@ -6,30 +6,31 @@
 	"github.com/vanillagrade/vanillagrade/internal/bound"
 )
 
-// mostPlanned bounds the tasks of which a plan in hindsight is made: it looks at each
-// moment of each task's time, for some seconds with more.
-const mostPlanned = 20_000
+// maxPlannedTasks bounds the tasks of a plan. Planning visits each moment of each
+// task's time and takes several seconds with more tasks.
+const maxPlannedTasks = 20_000
 
-// Hindsight is what planners could have served in time that know each job and each run time
-// in advance, in slots like Group.Goodput.
+// Hindsight is the goodput, in slots like Group.Goodput, that a planner could have
+// reached with all jobs and run times known in advance.
 type Hindsight struct {
-	// Plan keeps tasks whole and is made greedily. A better one may exist.
+	// Plan is the goodput of a greedy plan that doesn't split tasks. A better plan
+	// may exist.
 	Plan float64 `json:"plan_slots"`
-	// Most is what no plan exceeds.
+	// Most is an upper bound on the goodput of any plan.
 	Most float64 `json:"most_slots"`
-	// Known is false where the fleet's slots are not known or too many tasks arrive.
+	// Known is false if the fleet's slots are unknown or too many tasks arrive.
 	Known bool `json:"known"`
 }
 
-// hindsight plans the arrivals of a mix on its own fleet, those of the warm-up included:
-// what they leave undone is before the others.
+// hindsight plans the arrivals of a mix on the mix's own fleet. It includes the
+// arrivals of the warm-up, since their unfinished work delays later arrivals.
 func hindsight(spec *Spec) Hindsight {
 	slots := spec.Fleet.Capacity()
 	var jobs []bound.Job
 	tasks := 0
 	for a := range Schedule(spec) {
-		jobs = append(jobs, planned(spec, &a))
-		if tasks += len(a.Tasks); tasks > mostPlanned {
+		jobs = append(jobs, plannerJob(spec, &a))
+		if tasks += len(a.Tasks); tasks > maxPlannedTasks {
 			return Hindsight{}
 		}
 	}
@@ -37,13 +38,13 @@
 		return Hindsight{}
 	}
 	_, served := bound.Plan(jobs, slots)
-	whole := spec.Duration.Seconds()
-	return Hindsight{Plan: served / whole, Most: bound.Fluid(jobs, float64(slots)) / whole, Known: true}
+	seconds := spec.Duration.Seconds()
+	return Hindsight{Plan: served / seconds, Most: bound.Fluid(jobs, float64(slots)) / seconds, Known: true}
 }
 
-// planned returns an arrival as a planner sees it: worth its work, and of use until its
-// deadline. What ends after the arrivals does not count, as in the goodput.
-func planned(spec *Spec, a *Arrival) bound.Job {
+// plannerJob converts an arrival into a job for the planner. Its value is its work, up
+// to its deadline. Work that ends after Spec.Duration does not count, as in the goodput.
+func plannerJob(spec *Spec, a *Arrival) bound.Job {
 	within := max(spec.Duration-a.At, time.Millisecond)
 	if a.Stream.Deadline > 0 {
 		within = min(within, a.Stream.Deadline)
--- a/internal/load/hindsight_test.go
+++ b/internal/load/hindsight_test.go
@@ -6,8 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Twice as much arrives as the targets can do, and half of it is served. Whether that is
-// good can't be told without what could have been served.
+// Twice as much work arrives as the targets can serve. The plan must come close to the
+// capacity of the targets without exceeding it: without this reference, a run that serves
+// half of the work can't be rated.
 func TestHindsightOfAnOverload(t *testing.T) {
 	spec, err := Parse([]byte(`
 name: over
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -21,7 +21,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// small is a mix whose jobs all arrive within milliseconds.
+// small is a mix whose jobs all arrive within 50 ms.
 const small = `
 name: small
 seed: 3
@@ -106,23 +106,23 @@
 	}
 }
 
-// fakeEntry answers jobs as a fleet of stand-ins would. change may spoil one
-// answer before it is sent.
+// fakeEntry answers jobs as a fleet of stand-ins would. alter, if set, may
+// corrupt each complete answer before it is sent.
 type fakeEntry struct {
-	change func(a *api.CompleteAnswer)
-	other  *api.OtherAnswer
-	// hold, when set, lets no answer out until so many jobs have arrived.
+	alter func(a *api.CompleteAnswer)
+	other *api.OtherAnswer
+	// hold, if set, delays all answers until this many jobs have arrived.
 	hold int
 
-	mu      sync.Mutex
-	arrived int
-	all     chan struct{}
-	starts  int
-	vars    int
+	mu         sync.Mutex
+	arrived    int
+	allArrived chan struct{}
+	starts     int
+	vars       int
 }
 
 func (f *fakeEntry) serve(t *testing.T) string {
-	f.all = make(chan struct{})
+	f.allArrived = make(chan struct{})
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/jobs", f.postJob)
 	mux.HandleFunc("POST /v1/services/{service}", f.postSingle)
@@ -147,11 +147,11 @@
 	f.arrived++
 	f.starts += tasks
 	if f.arrived == f.hold {
-		close(f.all)
+		close(f.allArrived)
 	}
 	f.mu.Unlock()
 	if f.hold > 0 {
-		<-f.all
+		<-f.allArrived
 	}
 }
 
@@ -175,8 +175,8 @@
 	for i, task := range req.Tasks {
 		answer.Results = append(answer.Results, api.TaskResult{Task: i, Payload: echoOf(task.Payload)})
 	}
-	if f.change != nil {
-		f.change(&answer)
+	if f.alter != nil {
+		f.alter(&answer)
 	}
 	_ = json.NewEncoder(w).Encode(answer)
 }
@@ -188,9 +188,9 @@
 	_, _ = w.Write(echoOf(body))
 }
 
-// A system stalls: no answer comes until all jobs have arrived. A load tool
-// that waits for answers before it sends more would never send them, and would
-// report a stall as low load.
+// The entry answers nothing until all jobs have arrived. A closed-loop load tool
+// would wait for answers, never send the remaining jobs, and report the stall
+// as low load.
 func TestRunIsOpenLoop(t *testing.T) {
 	spec := smallSpec(t)
 	jobs := len(arrivals(&spec))
@@ -214,10 +214,10 @@
 	qt.Assert(t, json.Valid(js.Bytes()), qt.IsTrue)
 }
 
-// A dispatcher hands a caller another caller's result, or leaves one out. The
-// load tool has to notice each single one, or a crossed answer would be
-// reported as a good and quick one.
-func TestRunSeesWrongAnswers(t *testing.T) {
+// An entry returns the result of another task or job, or omits one. The load
+// tool must detect each case, or it would report a wrong answer as a good and
+// fast one.
+func TestRunDetectsWrongAnswers(t *testing.T) {
 	count := func(c Checks) []int { return []int{c.Crossed, c.Partial, c.Unreadable} }
 	for name, test := range map[string]struct {
 		change func(*api.CompleteAnswer)
@@ -233,7 +233,7 @@
 			spec.MaxJobs = 1
 			spec.Streams = spec.Streams[:1]
 			spec.Streams[0].Tasks = Count{2, 2}
-			address := (&fakeEntry{change: test.change}).serve(t)
+			address := (&fakeEntry{alter: test.change}).serve(t)
 			report, err := Run(t.Context(), spec, Options{Entries: []string{address}})
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, count(report.Checks), qt.DeepEquals, test.want)
@@ -243,9 +243,9 @@
 	}
 }
 
-// An entry says "not run" of jobs whose tasks its targets did start. The caller
-// would resubmit and be billed twice.
-func TestRunSeesFalseNotRun(t *testing.T) {
+// An entry reports "not run" for jobs whose tasks the targets did start. The
+// caller would resubmit these jobs and be billed twice.
+func TestRunDetectsFalseNotRun(t *testing.T) {
 	spec := smallSpec(t)
 	spec.Streams = spec.Streams[:1]
 	entry := &fakeEntry{other: &api.OtherAnswer{Outcome: job.Refused, Run: job.NotRun().String(), Reason: job.Overloaded}}
@@ -265,21 +265,21 @@
 	qt.Assert(t, err, qt.ErrorMatches, ".*without entries.*")
 }
 
-func TestFigures(t *testing.T) {
+func TestReportMetrics(t *testing.T) {
 	spec := smallSpec(t)
 	spec.Duration, spec.Warmup = 10*time.Second, 2*time.Second
-	g := newGatherer(&spec)
+	g := newCollector(&spec)
 	for i := range 1000 {
 		a := &Arrival{At: 3 * time.Second, Stream: &spec.Streams[0], Team: "a", Tasks: []Task{{Run: 100 * time.Millisecond}}}
 		stretch := time.Duration(1)
 		if i >= 985 {
 			stretch = 5
 		}
-		g.add(outcome{arrival: a, verdict: verdictComplete, took: stretch * 100 * time.Millisecond, ended: 4 * time.Second, late: i < 200})
+		g.add(jobResult{arrival: a, outcome: outcomeComplete, took: stretch * 100 * time.Millisecond, ended: 4 * time.Second, late: i < 200})
 	}
 	early := &Arrival{At: time.Second, Stream: &spec.Streams[0], Tasks: []Task{{Run: time.Hour}}}
-	g.add(outcome{arrival: early, verdict: verdictComplete, took: time.Hour, ended: time.Hour})
-	got := g.total.finish(8 * time.Second)
+	g.add(jobResult{arrival: early, outcome: outcomeComplete, took: time.Hour, ended: time.Hour})
+	got := g.total.summarize(8 * time.Second)
 	qt.Assert(t, got.Jobs, qt.Equals, 1000)
 	qt.Assert(t, got.Late, qt.Equals, 200)
 	qt.Assert(t, got.Stretch.Median, qt.Equals, 1.0)
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -12,14 +12,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of the picture.
+// Size of the plot.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 14 * vg.Centimeter
 )
 
-// WritePlot draws the stretch of each service at the median, 99th and 99.9th
-// percentile as an SVG, a line for each report and service.
+// WritePlot draws the stretch at the median, 99th and 99.9th percentile as an
+// SVG, with one line for each report and service.
 func WritePlot(w io.Writer, reports []Report) error {
 	p := plot.New()
 	p.Title.Text = "stretch: answer time / the work's own time"
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -7,37 +7,38 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Ranges of the histograms. Stretch is kept in thousandths.
+// Ranges of the histograms. Stretch is recorded in thousandths.
 const (
-	stretchUnit = 1000
-	maxStretch  = 100_000 * stretchUnit
-	maxAnswer   = int64(time.Hour / time.Microsecond)
-	digits      = 3
+	stretchScale      = 1000
+	maxStretch        = 100_000 * stretchScale
+	maxAnswerMicros   = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
-// Report is what one run measured.
+// Report holds the measurements of one run.
 type Report struct {
 	Mix     string `json:"mix"`
 	Policy  string `json:"policy,omitempty"`
 	Summary string `json:"summary"`
-	// Measured is the time over which goodput is counted: the arrivals without
+	// Measured is the time over which goodput is counted: Spec.Duration without
 	// the warm-up.
 	Measured time.Duration `json:"measured_ns"`
 	Slots    int           `json:"slots"`
 	Total    Group         `json:"total"`
 	Services []Group       `json:"services"`
 	Teams    []Group       `json:"teams"`
-	// Hindsight stands beside Total.Goodput.
+	// Hindsight is a reference for Total.Goodput.
 	Hindsight Hindsight `json:"hindsight"`
 	Checks    Checks    `json:"checks"`
 	Messages  Messages  `json:"messages"`
-	// MaxLag is how late the load tool itself sent a job at worst. Stretch
-	// counts from the time that the job was due, so a large lag spoils it.
+	// MaxLag is the longest delay between the time that a job was due and the
+	// time that the load tool sent it; Lag99 is the 99th percentile. Stretch
+	// counts from the due time, so a large lag distorts it.
 	MaxLag time.Duration `json:"max_lag_ns"`
 	Lag99  time.Duration `json:"lag_99_ns"`
 }
 
-// Checks is what must hold; all but Starts, Jobs and Tasks must be zero.
+// Checks counts violations; all counts but Starts, Jobs and Tasks must be zero.
 type Checks struct {
 	Jobs  int `json:"jobs"`
 	Tasks int `json:"tasks"`
@@ -45,37 +46,39 @@
 	Crossed int `json:"crossed"`
 	// Partial counts complete answers that lack a result.
 	Partial int `json:"partial"`
-	// Unreadable counts answers that fit no form of the interface.
+	// Unreadable counts answers that match no form of the API.
 	Unreadable int `json:"unreadable"`
-	// Unanswered counts jobs whose connection gave no answer.
+	// Unanswered counts jobs whose connection returned no answer.
 	Unanswered int `json:"unanswered"`
-	// NotSent counts jobs that the load tool's own bound kept back.
+	// NotSent counts jobs that the load tool dropped at its own limit of jobs in
+	// flight.
 	NotSent int `json:"not_sent"`
-	// Starts and DoubledStarts are the stand-in targets' own counts.
+	// Starts and DoubledStarts are the counts of the stand-in targets.
 	Starts        uint64 `json:"starts"`
 	DoubledStarts uint64 `json:"doubled_starts"`
-	// UnexplainedStarts counts starts beyond the tasks of all jobs that are
-	// complete or may have run: a task ran of which a caller was told "not run".
+	// UnexplainedStarts counts starts in excess of the tasks of all jobs that are
+	// complete or may have run: a task ran although its caller received "not run".
 	UnexplainedStarts int64 `json:"unexplained_starts"`
-	// TargetsCounted is false when no stand-in could be asked; then the three
-	// counts above say nothing.
+	// TargetsCounted is false if the stand-ins' counters could not be read; the
+	// three counts above are then meaningless.
 	TargetsCounted bool `json:"targets_counted"`
-	// Examples names up to a few of the faults.
+	// Examples describes up to maxExamples of the violations.
 	Examples []string `json:"examples,omitempty"`
 }
 
-// Good reports whether all that must hold held.
+// Good reports whether no result was wrong or missing, no answer unreadable, and
+// no start doubled or unexplained.
 func (c *Checks) Good() bool {
 	return c.Crossed == 0 && c.Partial == 0 && c.Unreadable == 0 && c.DoubledStarts == 0 && c.UnexplainedStarts == 0
 }
 
-// Group is the figures of a part of the jobs.
+// Group holds the statistics of a subset of the jobs.
 type Group struct {
 	Service string `json:"service,omitempty"`
 	Team    string `json:"team,omitempty"`
 	Jobs    int    `json:"jobs"`
-	// Complete counts whole answers, Late those of them that were flagged late
-	// or came after the stream's deadline.
+	// Complete counts complete answers. Late counts those that were flagged late
+	// or arrived after the stream's deadline.
 	Complete  int `json:"complete"`
 	Late      int `json:"late"`
 	Cancelled int `json:"cancelled"`
@@ -83,18 +86,18 @@
 	Refused map[string]int `json:"refused,omitempty"`
 	Failed  map[string]int `json:"failed,omitempty"`
 	Stretch Quantiles      `json:"stretch"`
-	// Answer is in seconds, of complete answers.
+	// Answer is the time to a complete answer, in seconds.
 	Answer Quantiles `json:"answer_seconds"`
-	// RefusalAfter is in seconds: how soon a refused caller knows.
+	// RefusalAfter is the time to a refusal, in seconds.
 	RefusalAfter Quantiles `json:"refusal_seconds"`
-	// Offered and Goodput are work in slots: the mean number of slots that the
-	// arriving work, and the complete on-time answers of the measured time,
-	// would keep busy.
+	// Offered and Goodput are work in slots. Offered is the mean number of slots
+	// that the arriving work would keep busy; Goodput is the same for the work
+	// that was answered complete and on time within the measured time.
 	Offered float64 `json:"offered_slots"`
 	Goodput float64 `json:"goodput_slots"`
 }
 
-// Quantiles are those of one histogram.
+// Quantiles are the quantiles of one histogram.
 type Quantiles struct {
 	Count  int64   `json:"count"`
 	Median float64 `json:"median"`
@@ -105,7 +108,7 @@
 
 // Messages is the traffic between entries during the run.
 type Messages struct {
-	// Counted is false when no entry could be asked.
+	// Counted is false if the entries' counters could not be read.
 	Counted     bool             `json:"counted"`
 	Useful      int64            `json:"useful"`
 	Wasted      int64            `json:"wasted"`
@@ -122,11 +125,11 @@
 	return float64(m.Useful) / float64(m.Useful+m.Wasted)
 }
 
-// outcome is one judged answer.
-type outcome struct {
+// jobResult is the checked answer to one job.
+type jobResult struct {
 	arrival *Arrival
-	// verdict is a job outcome, or empty where there was no readable answer.
-	verdict string
+	// outcome is a job outcome, or empty if there was no readable answer.
+	outcome string
 	reason  string
 	notRun  bool
 	late    bool
@@ -134,76 +137,79 @@
 	ended   time.Duration
 }
 
-// groupKey names a group: by service, or by service and team.
+// groupKey identifies a group: a service, or a service and team.
 type groupKey struct {
 	service string
 	team    string
 }
 
-// gathered is a group while the run goes on.
-type gathered struct {
+// groupStats accumulates the statistics of a group during the run.
+type groupStats struct {
 	Group
-	stretch *hdrhistogram.Histogram
-	answer  *hdrhistogram.Histogram
-	refusal *hdrhistogram.Histogram
-	offered time.Duration
-	good    time.Duration
+	stretch     *hdrhistogram.Histogram
+	answer      *hdrhistogram.Histogram
+	refusal     *hdrhistogram.Histogram
+	offeredWork time.Duration
+	onTimeWork  time.Duration
 }
 
-func newGathered(key groupKey) *gathered {
-	return &gathered{
+func newGroupStats(key groupKey) *groupStats {
+	return &groupStats{
 		Group:   Group{Service: key.service, Team: key.team, Refused: map[string]int{}, Failed: map[string]int{}},
-		stretch: hdrhistogram.New(1, maxStretch, digits),
-		answer:  hdrhistogram.New(1, maxAnswer, digits),
-		refusal: hdrhistogram.New(1, maxAnswer, digits),
+		stretch: hdrhistogram.New(1, maxStretch, significantDigits),
+		answer:  hdrhistogram.New(1, maxAnswerMicros, significantDigits),
+		refusal: hdrhistogram.New(1, maxAnswerMicros, significantDigits),
 	}
 }
 
-// gatherer collects outcomes; it is safe for concurrent use.
-type gatherer struct {
+// collector collects the results of jobs. It is safe for concurrent use.
+type collector struct {
 	spec *Spec
 
 	mu     sync.Mutex
-	total  *gathered
-	groups map[groupKey]*gathered
+	total  *groupStats
+	groups map[groupKey]*groupStats
 	lag    *hdrhistogram.Histogram
 	checks Checks
-	// mayHaveRun counts tasks that complete or may have run, for the starts.
+	// mayHaveRun counts the tasks of jobs that are complete or may have run; the
+	// stand-ins' starts are compared with it.
 	mayHaveRun int64
 }
 
-func newGatherer(spec *Spec) *gatherer {
-	return &gatherer{
+func newCollector(spec *Spec) *collector {
+	return &collector{
 		spec:   spec,
-		total:  newGathered(groupKey{}),
-		groups: map[groupKey]*gathered{},
-		lag:    hdrhistogram.New(1, maxAnswer, digits),
+		total:  newGroupStats(groupKey{}),
+		groups: map[groupKey]*groupStats{},
+		lag:    hdrhistogram.New(1, maxAnswerMicros, significantDigits),
 	}
 }
 
-func (g *gatherer) group(key groupKey) *gathered {
+func (g *collector) group(key groupKey) *groupStats {
 	if g.groups[key] == nil {
-		g.groups[key] = newGathered(key)
+		g.groups[key] = newGroupStats(key)
 	}
 	return g.groups[key]
 }
 
-func (g *gatherer) sent(lag time.Duration) {
+func (g *collector) recordLag(lag time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	record(g.lag, lag.Microseconds())
 }
 
-// record takes a value into its histogram, at the bounds if it is beyond them.
+// record adds a value to the histogram, clamped to the histogram's range.
 func record(h *hdrhistogram.Histogram, value int64) {
-	// RecordValue fails only beyond the bounds, which the clamp rules out.
+	// RecordValue fails only for values out of range, which the clamp excludes.
 	_ = h.RecordValue(min(max(value, 1), h.HighestTrackableValue()))
 }
 
-// maxExamples bounds the faults that a report names one by one.
+// maxExamples bounds the violations that a report describes one by one.
 const maxExamples = 10
 
-func (g *gatherer) fault(count *int, example string) {
+// recordFault increments one of the counts in checks and keeps the example if
+// there are fewer than maxExamples.
+func (g *collector) recordFault(count *int, example string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	*count++
@@ -212,7 +218,7 @@
 	}
 }
 
-func (g *gatherer) add(o outcome) {
+func (g *collector) add(o jobResult) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.checks.Jobs++
@@ -221,48 +227,49 @@
 		g.mayHaveRun += int64(len(o.arrival.Tasks))
 	}
 	key := groupKey{service: o.arrival.Stream.Service}
-	for _, group := range []*gathered{g.total, g.group(key), g.group(groupKey{key.service, o.arrival.Team})} {
+	for _, group := range []*groupStats{g.total, g.group(key), g.group(groupKey{key.service, o.arrival.Team})} {
 		group.add(g.spec, o)
 	}
 }
 
-func (g *gathered) add(spec *Spec, o outcome) {
-	// Work that arrived in the warm-up still ends in the measured time, as work
-	// of the measured time ends after it: goodput counts by the end.
-	if o.verdict == verdictComplete && !o.late && o.ended >= spec.Warmup && o.ended < spec.Duration {
-		g.good += o.arrival.Work()
+func (g *groupStats) add(spec *Spec, o jobResult) {
+	// Goodput counts work by its end: work that arrived in the warm-up may end in
+	// the measured time, and work that arrived in the measured time may end after
+	// it.
+	if o.outcome == outcomeComplete && !o.late && o.ended >= spec.Warmup && o.ended < spec.Duration {
+		g.onTimeWork += o.arrival.Work()
 	}
 	if o.arrival.At < spec.Warmup {
 		return
 	}
 	g.Jobs++
-	g.offered += o.arrival.Work()
-	switch o.verdict {
-	case verdictComplete:
+	g.offeredWork += o.arrival.Work()
+	switch o.outcome {
+	case outcomeComplete:
 		g.Complete++
 		if o.late {
 			g.Late++
 		}
 		ideal := o.arrival.Ideal(spec.Fleet.Capacity())
-		record(g.stretch, int64(float64(stretchUnit)*float64(o.took)/float64(ideal)))
+		record(g.stretch, int64(float64(stretchScale)*float64(o.took)/float64(ideal)))
 		record(g.answer, o.took.Microseconds())
-	case verdictRefused:
+	case outcomeRefused:
 		g.Refused[o.reason]++
 		record(g.refusal, o.took.Microseconds())
-	case verdictCancelled:
+	case outcomeCancelled:
 		g.Cancelled++
 	default:
 		g.Failed[o.reason]++
 	}
 }
 
-func (g *gathered) finish(measured time.Duration) Group {
+func (g *groupStats) summarize(measured time.Duration) Group {
 	out := g.Group
-	out.Stretch = quantiles(g.stretch, stretchUnit)
+	out.Stretch = quantiles(g.stretch, stretchScale)
 	out.Answer = quantiles(g.answer, float64(time.Second/time.Microsecond))
 	out.RefusalAfter = quantiles(g.refusal, float64(time.Second/time.Microsecond))
-	out.Offered = g.offered.Seconds() / measured.Seconds()
-	out.Goodput = g.good.Seconds() / measured.Seconds()
+	out.Offered = g.offeredWork.Seconds() / measured.Seconds()
+	out.Goodput = g.onTimeWork.Seconds() / measured.Seconds()
 	return out
 }
 
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -11,7 +11,7 @@
 // Task is one task of an arrival.
 type Task struct {
 	Run time.Duration
-	// Declared is what the caller says of Run; zero says nothing.
+	// Declared is the run time that the caller declares; zero declares none.
 	Declared time.Duration
 }
 
@@ -23,7 +23,7 @@
 	Stream *Stream
 	Team   string
 	Tasks  []Task
-	// CancelAt is when its caller takes it back; zero means never.
+	// CancelAt is when the caller cancels the job; zero means never.
 	CancelAt time.Duration
 }
 
@@ -36,9 +36,9 @@
 	return sum
 }
 
-// Ideal returns the time that the job needs alone on an empty fleet of the
-// given slots: its longest task, or all its work spread over the slots where
-// it has more tasks than there are slots. Zero slots counts as enough.
+// Ideal returns the time that the job needs alone on an idle fleet with the
+// given slots: the longer of its longest task and its work divided by the
+// slots. Zero slots means unlimited.
 func (a *Arrival) Ideal(slots int) time.Duration {
 	var longest time.Duration
 	for _, t := range a.Tasks {
@@ -50,42 +50,42 @@
 	return longest
 }
 
-// source makes the arrivals of one stream.
+// source generates the arrivals of one stream.
 type source struct {
-	stream *Stream
-	random *rand.Rand
-	teams  []Team
-	shares float64
-	rate   float64
-	next   time.Duration
-	left   int
+	stream      *Stream
+	random      *rand.Rand
+	teams       []Team
+	totalShare  float64
+	rate        float64
+	next        time.Duration
+	leftInBurst int
 }
 
-// sources is a heap of streams by their next arrival.
-type sources []*source
+// sourceHeap is a heap of sources ordered by their next arrival.
+type sourceHeap []*source
 
-func (s sources) Len() int { return len(s) }
+func (s sourceHeap) Len() int { return len(s) }
 
-func (s sources) Less(i, j int) bool {
+func (s sourceHeap) Less(i, j int) bool {
 	if s[i].next != s[j].next {
 		return s[i].next < s[j].next
 	}
 	return s[i].stream.Name < s[j].stream.Name
 }
-func (s sources) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
-func (s *sources) Push(x any)   { *s = append(*s, x.(*source)) }
-func (s *sources) Pop() any {
+func (s sourceHeap) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s *sourceHeap) Push(x any)   { *s = append(*s, x.(*source)) }
+func (s *sourceHeap) Pop() any {
 	old := *s
 	last := old[len(old)-1]
 	*s = old[:len(old)-1]
 	return last
 }
 
-// Schedule returns the arrivals of the mix in the order of their times. The
-// same mix gives the same arrivals.
+// Schedule returns the arrivals of the mix in order of time. It is
+// deterministic: the same mix gives the same arrivals.
 func Schedule(spec *Spec) iter.Seq[Arrival] {
 	return func(yield func(Arrival) bool) {
-		var queue sources
+		var queue sourceHeap
 		for i := range spec.Streams {
 			s := newSource(spec, i)
 			if s.next < s.end(spec) {
@@ -119,10 +119,10 @@
 	for _, t := range spec.Teams {
 		if len(st.Teams) == 0 || contains(st.Teams, t.Name) {
 			s.teams = append(s.teams, t)
-			s.shares += t.Share
+			s.totalShare += t.Share
 		}
 	}
-	s.left = 0
+	s.leftInBurst = 0
 	s.advance()
 	return s
 }
@@ -143,24 +143,25 @@
 	return spec.Duration
 }
 
-// advance moves to the next arrival: within a burst at once, else after an
-// exponentially distributed gap, which makes the arrivals a Poisson process.
+// advance moves to the next arrival. Within a burst, this has the same time;
+// otherwise it follows after an exponentially distributed gap, so that the
+// bursts form a Poisson process.
 func (s *source) advance() {
-	if s.left > 0 {
-		s.left--
+	if s.leftInBurst > 0 {
+		s.leftInBurst--
 		return
 	}
-	s.left = s.stream.Bursts.Size - 1
+	s.leftInBurst = s.stream.Bursts.Size - 1
 	gap := s.random.ExpFloat64() * float64(s.stream.Bursts.Size) / s.rate
 	s.next += time.Duration(gap * float64(time.Second))
 }
 
 func (s *source) arrival(number int) Arrival {
 	st := s.stream
-	a := Arrival{At: s.next, Number: number, Stream: st, Team: s.team(), Tasks: make([]Task, st.Tasks.draw(s.random))}
+	a := Arrival{At: s.next, Number: number, Stream: st, Team: s.drawTeam(), Tasks: make([]Task, st.Tasks.draw(s.random))}
 	for i := range a.Tasks {
 		run := st.Run.draw(s.random)
-		a.Tasks[i] = Task{Run: run, Declared: s.declared(run)}
+		a.Tasks[i] = Task{Run: run, Declared: s.drawDeclared(run)}
 	}
 	if st.Cancel.Share > 0 && s.random.Float64() < st.Cancel.Share {
 		a.CancelAt = a.At + st.Cancel.After
@@ -168,8 +169,8 @@
 	return a
 }
 
-func (s *source) team() string {
-	at := s.random.Float64() * s.shares
+func (s *source) drawTeam() string {
+	at := s.random.Float64() * s.totalShare
 	for _, t := range s.teams {
 		at -= t.Share
 		if at < 0 {
@@ -179,7 +180,7 @@
 	return s.teams[len(s.teams)-1].Name
 }
 
-func (s *source) declared(run time.Duration) time.Duration {
+func (s *source) drawDeclared(run time.Duration) time.Duration {
 	factor := s.stream.DeclaredFactor
 	if factor == 0 {
 		return 0
@@ -188,7 +189,7 @@
 	return max(time.Duration(float64(run)*math.Pow(factor, exponent)), time.Millisecond)
 }
 
-// JobsPerSecond returns the stream's mean rate, the mix's Load included.
+// JobsPerSecond returns the stream's mean rate, multiplied by the mix's Load.
 func (st *Stream) JobsPerSecond(spec *Spec) float64 {
 	if st.Rate > 0 {
 		return st.Rate * spec.Load
@@ -197,8 +198,9 @@
 	return st.Share * float64(spec.Fleet.Capacity()) / work * spec.Load
 }
 
-// meanDraws is how many draws a mean is taken from: its error is then under
-// 1% for the spreads in use, and the sum over a few streams takes milliseconds.
+// meanDraws is the number of draws that a mean is estimated from. It keeps the
+// error under 1% for the spreads in use, and takes milliseconds for a few
+// streams.
 const meanDraws = 20_000
 
 func (d *Distribution) draw(r *rand.Rand) time.Duration {
--- a/internal/load/spec.go
+++ b/internal/load/spec.go
@@ -1,6 +1,6 @@
-// Package load sends open-loop load to entries and judges what comes back:
-// arrivals follow their schedule whether or not earlier answers have come, so
-// a slow system can't slow its own load down and look better than it is.
+// Package load sends open-loop load to entries and checks their answers.
+// Arrivals follow a schedule regardless of earlier answers, so that a slow
+// system can't reduce its own load and appear faster than it is.
 package load
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/juju/errors"
 )
 
-// Bounds of one run, so that a mistyped mix can't fill the machine.
+// Limits of one run, so that a mistyped mix can't exhaust the machine.
 const (
 	maxDuration  = 10 * time.Minute
 	maxJobs      = 2_000_000
@@ -24,31 +24,33 @@
 	defaultSlots = 8
 )
 
-// Spec is one mix of load as it stands in its YAML file.
+// Spec is a mix of load, as defined in a YAML file.
 type Spec struct {
 	Name string `yaml:"name"`
-	// Seed makes two runs send the same jobs at the same times.
+	// Seed seeds the schedule: runs with the same seed send the same jobs at the
+	// same times.
 	Seed uint64 `yaml:"seed"`
-	// Duration is how long jobs arrive. The run ends when the last is answered.
+	// Duration is how long jobs arrive. The run ends when the last job is
+	// answered.
 	Duration time.Duration `yaml:"duration"`
-	// Warmup is the first part of Duration; its answers are checked and left
-	// out of the figures.
+	// Warmup is the first part of Duration. Answers to its jobs are checked, but
+	// excluded from the statistics.
 	Warmup time.Duration `yaml:"warmup"`
-	// MaxJobs bounds the run by count.
+	// MaxJobs bounds the number of jobs in the run.
 	MaxJobs int `yaml:"max_jobs"`
 	// Load multiplies all rates; zero means 1.
 	Load float64 `yaml:"load"`
-	// Configuration is the declarative file that the mix expects in force; a
-	// relative path starts at the mix's own folder.
+	// Configuration is the configuration file that the mix expects to be in
+	// effect. A relative path is relative to the folder of the mix.
 	Configuration string   `yaml:"configuration"`
 	Fleet         Fleet    `yaml:"fleet"`
 	Teams         []Team   `yaml:"teams"`
 	Streams       []Stream `yaml:"streams"`
 }
 
-// Fleet describes the targets that the mix is meant for. Shares of capacity
-// and the ideal of large jobs are computed from it, and an in-process trial
-// starts it.
+// Fleet describes the fleet that the mix is intended for. Shares of capacity
+// and the ideal time of large jobs are computed from it, and an in-process
+// trial starts it.
 type Fleet struct {
 	Zones   []string `yaml:"zones"`
 	Entries int      `yaml:"entries"`
@@ -56,7 +58,8 @@
 	Slots   int      `yaml:"slots"`
 	Pool    string   `yaml:"pool"`
 	PerRack int      `yaml:"per_rack"`
-	// Room is what each target announces; zero announces room for all tasks.
+	// Processors, MemoryMB and Accelerators are the resources that each target
+	// announces; zero announces enough for all tasks.
 	Processors   int `yaml:"processors"`
 	MemoryMB     int `yaml:"memory_mb"`
 	Accelerators int `yaml:"accelerators"`
@@ -65,7 +68,7 @@
 	Failing int         `yaml:"failing"`
 }
 
-// SlowTargets makes the first Count targets take Times as long.
+// SlowTargets makes tasks run Times as long on the first Count targets.
 type SlowTargets struct {
 	Count int     `yaml:"count"`
 	Times float64 `yaml:"times"`
@@ -77,7 +80,7 @@
 // Team is a group of callers of the mix.
 type Team struct {
 	Name string `yaml:"name"`
-	// Share is the team's part of the arrivals of each stream that it is in.
+	// Share is the team's relative share of the arrivals in each of its streams.
 	Share float64 `yaml:"share"`
 }
 
@@ -86,22 +89,24 @@
 	Name    string `yaml:"name"`
 	Service string `yaml:"service"`
 	Kind    string `yaml:"kind"`
-	// Teams names the teams that send it; empty means all.
+	// Teams names the teams that send the stream; empty means all.
 	Teams []string `yaml:"teams"`
-	// Single sends each job by the opaque single-request path.
+	// Single sends each job as a single request, whose body the entry does not
+	// interpret.
 	Single bool `yaml:"single"`
-	// Rate is in jobs a second; Share is the part of the fleet's slots that the
-	// work takes. Exactly one of them is set.
+	// Rate is in jobs per second; Share is the fraction of the fleet's slots that
+	// the work occupies. Exactly one of them is set.
 	Rate  float64 `yaml:"rate"`
 	Share float64 `yaml:"share"`
-	// Bursts, when set, lets jobs arrive together in place of one by one.
+	// Bursts, if set, makes jobs arrive in groups instead of one by one.
 	Bursts Bursts `yaml:"bursts"`
-	// Tasks is how many tasks a job has.
+	// Tasks is the number of tasks in a job.
 	Tasks Count `yaml:"tasks"`
 	// Run is the run time of one task.
 	Run Distribution `yaml:"run"`
-	// DeclaredFactor is how far off declared run times are: each is multiplied
-	// or divided by up to this. Zero declares nothing, 1 the truth.
+	// DeclaredFactor is the error of declared run times: each is the run time
+	// multiplied or divided by up to this factor. Zero declares no run time, and 1
+	// declares the exact one.
 	DeclaredFactor float64       `yaml:"declared_factor"`
 	Deadline       time.Duration `yaml:"deadline"`
 	PayloadBytes   int           `yaml:"payload_bytes"`
@@ -110,32 +115,32 @@
 	MemoryMB       int           `yaml:"memory_mb"`
 	Accelerators   int           `yaml:"accelerators"`
 	Cancel         Cancel        `yaml:"cancel"`
-	// From and Until bound the stream in time; zero Until means the end.
+	// From and Until bound the stream in time; a zero Until means Spec.Duration.
 	From  time.Duration `yaml:"from"`
 	Until time.Duration `yaml:"until"`
 }
 
-// Bursts groups the arrivals of a stream: Size jobs at once. Their mean rate
-// stays the stream's rate.
+// Bursts groups the arrivals of a stream: Size jobs arrive at once. The mean rate
+// of jobs remains the stream's rate.
 type Bursts struct {
 	Size int `yaml:"size"`
 }
 
-// Cancel takes a part of the jobs back After their arrival.
+// Cancel cancels a Share of the jobs, each After its arrival.
 type Cancel struct {
 	Share float64       `yaml:"share"`
 	After time.Duration `yaml:"after"`
 }
 
-// Count is a number between Min and Max. Between them the small ones are more
-// frequent: the logarithm is spread evenly.
+// Count is a random number between Min and Max, log-uniform: small numbers are
+// more frequent.
 type Count struct {
 	Min int `yaml:"min"`
 	Max int `yaml:"max"`
 }
 
-// Distribution is a run time: log-normal around Median with the spread Sigma,
-// cut off at Min and Max. Without Sigma it is always Median.
+// Distribution is the distribution of a run time: log-normal with Median and
+// Sigma, clamped to Min and Max. If Sigma is zero, the run time is always Median.
 type Distribution struct {
 	Median time.Duration `yaml:"median"`
 	Sigma  float64       `yaml:"sigma"`
@@ -143,7 +148,7 @@
 	Max    time.Duration `yaml:"max"`
 }
 
-// Read reads and checks a mix.
+// Read reads a mix file and checks it.
 func Read(path string) (Spec, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -159,7 +164,7 @@
 	return spec, nil
 }
 
-// Parse reads and checks the content of a mix file. Unknown keys are errors.
+// Parse parses the content of a mix file and checks it. Unknown keys are errors.
 func Parse(content []byte) (Spec, error) {
 	var s Spec
 	if err := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict()).Decode(&s); err != nil {
@@ -200,10 +205,10 @@
 	}
 }
 
-// maxRun cuts the tail of run times where the file sets no bound.
+// maxRun is the upper bound of run times if the file sets none.
 const maxRun = 30 * time.Second
 
-// Check returns what is wrong with the mix.
+// Check returns an error if the mix is invalid.
 func (s *Spec) Check() error {
 	switch {
 	case s.Duration <= 0 || s.Duration > maxDuration:
@@ -220,7 +225,7 @@
 	teams := map[string]bool{}
 	for _, t := range s.Teams {
 		if teams[t.Name] || t.Share <= 0 {
-			return errors.NotValidf("team %q (each once, with a share)", t.Name)
+			return errors.NotValidf("team %q (must be unique and have a positive share)", t.Name)
 		}
 		teams[t.Name] = true
 	}
@@ -228,7 +233,7 @@
 	for i := range s.Streams {
 		st := &s.Streams[i]
 		if names[st.Name] || st.Name == "" {
-			return errors.NotValidf("stream name %q (each its own)", st.Name)
+			return errors.NotValidf("stream name %q (must be set and unique)", st.Name)
 		}
 		names[st.Name] = true
 		if err := st.check(s, teams); err != nil {
@@ -267,7 +272,7 @@
 	return nil
 }
 
-// Summary is one line on the mix.
+// Summary returns a one-line description of the mix.
 func (s *Spec) Summary() string {
 	return fmt.Sprintf("%s: seed %d, %s of arrivals at %.2f times the mix's rates, %d slots", s.Name, s.Seed, s.Duration, s.Load, s.Fleet.Capacity())
 }
--- a/internal/load/write.go
+++ b/internal/load/write.go
@@ -14,14 +14,14 @@
 	"github.com/juju/errors"
 )
 
-// WriteJSON writes reports for programs.
+// WriteJSON writes the reports as JSON.
 func WriteJSON(w io.Writer, reports []Report) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
 	return errors.Trace(enc.Encode(reports))
 }
 
-// WriteText writes one report for people.
+// WriteText writes one report as readable text.
 func WriteText(w io.Writer, r *Report) error {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s\n", r.Summary)
@@ -35,7 +35,7 @@
 		fmt.Fprintf(tab, "%s\t%s\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%s\t%.1f/%.1f\t%s\n",
 			cmp.Or(g.Service, "all"), g.Team, g.Jobs, g.Complete, g.Late,
 			g.Stretch.Median, g.Stretch.P99, g.Stretch.P999,
-			seconds(g.Answer.P99), g.Goodput, g.Offered, g.others())
+			toDuration(g.Answer.P99), g.Goodput, g.Offered, g.refusedAndFailed())
 	}
 	if err := tab.Flush(); err != nil {
 		return errors.Trace(err)
@@ -62,7 +62,7 @@
 	fmt.Fprintf(out, "checks over %d jobs, %d tasks: crossed %d, partial %d, unreadable %d, unanswered %d, not sent %d\n",
 		c.Jobs, c.Tasks, c.Crossed, c.Partial, c.Unreadable, c.Unanswered, c.NotSent)
 	if c.TargetsCounted {
-		fmt.Fprintf(out, "targets: %d starts, %d doubled, %d of jobs said not to have run\n", c.Starts, c.DoubledStarts, c.UnexplainedStarts)
+		fmt.Fprintf(out, "targets: %d starts, %d doubled, %d of jobs reported as not run\n", c.Starts, c.DoubledStarts, c.UnexplainedStarts)
 	} else {
 		fmt.Fprintln(out, "targets: not counted, so doubled starts are NOT checked")
 	}
@@ -70,7 +70,7 @@
 		fmt.Fprintf(out, "  %s\n", e)
 	}
 	if !c.Good() {
-		fmt.Fprintln(out, "WRONG: an answer or a start broke a promise")
+		fmt.Fprintln(out, "WRONG: a check of the answers or starts failed")
 	}
 }
 
@@ -89,11 +89,13 @@
 	}
 }
 
-func seconds(s float64) time.Duration {
+// toDuration converts seconds to a duration, rounded for printing.
+func toDuration(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second)).Round(100 * time.Microsecond)
 }
 
-func (g *Group) others() string {
+// refusedAndFailed describes the jobs without a complete answer, by reason.
+func (g *Group) refusedAndFailed() string {
 	var parts []string
 	for _, reason := range slices.Sorted(maps.Keys(g.Refused)) {
 		parts = append(parts, fmt.Sprintf("refused %s %d", reason, g.Refused[reason]))
@@ -107,8 +109,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// WriteRatios compares the first report with each of the others, service by
-// service: how many times higher the other's figure is.
+// WriteRatios compares the first report with each other report, service by
+// service: it writes the other report's values and their ratio to the first's.
 func WriteRatios(w io.Writer, reports []Report) error {
 	if len(reports) < 2 {
 		return nil
@@ -119,23 +121,24 @@
 	for i := range reports {
 		other := &reports[i]
 		for _, g := range append([]Group{other.Total}, other.Services...) {
-			base := ours.find(g.Service)
+			base := ours.groupOf(g.Service)
 			fmt.Fprintf(tab, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", other.Policy, cmp.Or(g.Service, "all"),
 				ratio(g.Stretch.Median, base.Stretch.Median), ratio(g.Stretch.P99, base.Stretch.P99),
-				ratio(g.Stretch.P999, base.Stretch.P999), ratio(g.Goodput, base.Goodput), other.Messages.share())
+				ratio(g.Stretch.P999, base.Stretch.P999), ratio(g.Goodput, base.Goodput), other.Messages.usefulShareText())
 		}
 	}
 	return errors.Trace(tab.Flush())
 }
 
-func (m *Messages) share() string {
+func (m *Messages) usefulShareText() string {
 	if !m.Counted {
 		return "not counted"
 	}
 	return fmt.Sprintf("%.1f%%", 100*m.UsefulShare())
 }
 
-func (r *Report) find(service string) *Group {
+// groupOf returns the group of the service, or the total if there is none.
+func (r *Report) groupOf(service string) *Group {
 	for i := range r.Services {
 		if r.Services[i].Service == service {
 			return &r.Services[i]
