--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -20,13 +20,14 @@
 	}
 	sum := Sum(Control(&size, slopes))
 	qt.Assert(t, sum.Core > 0.0053-1e-9 && sum.Core < 0.0053+1e-9, qt.IsTrue, qt.Commentf("%v", sum.Core))
-	// 100 targets a daemon, each renewed 1/0.35 times a second, and one exchange a second.
+	// Each daemon holds 100 targets. It renews the leases of each 1/0.35 times per second
+	// and takes part in one exchange per second.
 	qt.Assert(t, math.Round(sum.Bytes), qt.Equals, 50*600.0+270+7+2000+30)
 	qt.Assert(t, sum.Memory, qt.Equals, 105.0*(1<<20))
 }
 
-// The page's figures come from this command; a part that fails, or measures
-// nothing, would leave a zero in its sum that reads as cheap.
+// A measurement that fails or measures nothing would add zero to the sums of the capacity
+// page, which are then too low.
 func TestMeasurements(t *testing.T) {
 	m := &Slopes{}
 	for _, part := range Parts(Platform{Orders: platform.NewClient(nil).Orders, StandIn: platform.StandIn}) {
--- a/internal/capacity/discovery.go
+++ b/internal/capacity/discovery.go
@@ -12,15 +12,16 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer/peertest"
 )
 
-// AtExchange is what one exchange of known entries takes with a number of them.
+// AtExchange is the cost of one exchange of known entries for a given number of
+// entries.
 type AtExchange struct {
 	Entries int
 	CPU     time.Duration
 	Bytes   float64
 }
 
-// aBook knows a number of entries.
-func aBook(self job.EntryID, address string, entries int) *discovery.Book {
+// newBook returns a book with the given number of known entries.
+func newBook(self job.EntryID, address string, entries int) *discovery.Book {
 	book := discovery.NewBook(discovery.Record{Owner: job.Owner{Entry: self, Incarnation: 1, Zone: "z"}, Address: address})
 	for i := range entries {
 		book.Learn(time.Now(), discovery.Record{
@@ -31,23 +32,23 @@
 	return book
 }
 
-// measureDiscovery measures one exchange between two entries that know all others: the
-// one that asks and the one that answers together.
-func measureDiscovery(m *Slopes, least time.Duration) error {
+// measureDiscovery measures one exchange between two entries that know all others. The
+// cost is the sum of the requesting and the answering entry.
+func measureDiscovery(m *Slopes, minTime time.Duration) error {
 	for _, entries := range []int{7, 24, 49} {
-		x, err := m.exchange(entries, least)
+		x, err := m.measureExchange(entries, minTime)
 		if err != nil {
 			return errors.Trace(err)
 		}
 		m.Exchange = append(m.Exchange, x)
 		at := fmt.Sprintf("%d entries", entries)
-		m.cpu("one exchange of known entries, both ends", at, x.CPU)
-		m.point("one exchange of known entries and its answer, without TCP and IP headers", at, x.Bytes, "bytes")
+		m.addCPU("one exchange of known entries, both ends", at, x.CPU)
+		m.addPoint("one exchange of known entries and its answer, without TCP and IP headers", at, x.Bytes, "bytes")
 	}
 	return nil
 }
 
-func (m *Slopes) exchange(entries int, least time.Duration) (AtExchange, error) {
+func (m *Slopes) measureExchange(entries int, minTime time.Duration) (AtExchange, error) {
 	network := &peertest.Network{}
 	var answering *discovery.Joiner
 	l, stop, err := serveCounted(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { answering.ServeHTTP(w, r) }))
@@ -58,14 +59,14 @@
 	address := l.Addr().String()
 	joiner := func(self job.EntryID, at string) *discovery.Joiner {
 		return discovery.New(discovery.Options{
-			Book: aBook(self, at, entries), Mesh: network.Join(job.Owner{Entry: self, Incarnation: 1, Zone: "z"}),
+			Book: newBook(self, at, entries), Mesh: network.Join(job.Owner{Entry: self, Incarnation: 1, Zone: "z"}),
 			Seeds: func() []string { return nil }, OnNews: func([]discovery.Record) {},
 		})
 	}
 	answering = joiner("answers", address)
 	asking := joiner("asks", "10.2.0.1:7720")
 	count := 0
-	cpu := perCall(least, func(int) {
+	cpu := cpuPerCall(minTime, func(int) {
 		asking.Meet(address)
 		count++
 	})
@@ -75,8 +76,8 @@
 	return AtExchange{Entries: entries, CPU: cpu, Bytes: float64(l.bytes.Load()) / float64(count)}, nil
 }
 
-// exchangeAt returns what was measured with the number of entries nearest to n.
-func (m *Slopes) exchangeAt(n int) AtExchange {
+// nearestExchange returns the measurement whose number of entries is nearest to n.
+func (m *Slopes) nearestExchange(n int) AtExchange {
 	var best AtExchange
 	for _, x := range m.Exchange {
 		if best.Entries == 0 || abs(x.Entries-n) < abs(best.Entries-n) {
--- a/internal/capacity/looks.go
+++ b/internal/capacity/leases.go
@@ -14,14 +14,15 @@
 	"github.com/vanillagrade/vanillagrade/internal/runs"
 )
 
-// Platform is how targets that run tasks under a lease are spoken to.
+// Platform provides a client for, and a fake of, targets that run tasks under a lease.
 type Platform struct {
 	Orders func(job.Target) runs.Orders
-	// StandIn answers as a target on which some tasks run.
+	// StandIn returns a handler that answers like a target with the given number of
+	// running tasks.
 	StandIn func(runs int) (http.Handler, error)
 }
 
-// runsPerTarget is how many tasks run on a busy target, as its slots allow.
+// runsPerTarget is the number of tasks on a busy target, one per slot.
 const runsPerTarget = 8
 
 // countingConn counts the bytes of one connection in both directions.
@@ -67,17 +68,17 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = server.Serve(l) // it ends by Close
+		_ = server.Serve(l) // returns an error after Close
 	}()
 	return l, func() { _ = server.Close(); <-done }, nil
 }
 
-// measureLooks measures one renewal of the leases on a target, which also asks for
-// the ends of its runs. The processor time holds the small stand-in's too.
-func measureLooks(p Platform) Measurement {
-	return func(m *Slopes, least time.Duration) error {
+// measureLeaseRenewals measures one renewal of the leases on a target, which also polls
+// for finished runs. The processor time includes that of the small stand-in.
+func measureLeaseRenewals(p Platform) Measurement {
+	return func(m *Slopes, minTime time.Duration) error {
 		for _, n := range []int{1, runsPerTarget} {
-			if err := m.looks(p, n, least); err != nil {
+			if err := m.measureRenewalsWith(p, n, minTime); err != nil {
 				return errors.Trace(err)
 			}
 		}
@@ -85,7 +86,8 @@
 	}
 }
 
-func (m *Slopes) looks(p Platform, n int, least time.Duration) error {
+// measureRenewalsWith measures the renewal of the leases of n runs.
+func (m *Slopes) measureRenewalsWith(p Platform, n int, minTime time.Duration) error {
 	handler, err := p.StandIn(n)
 	if err != nil {
 		return errors.Trace(err)
@@ -95,21 +97,21 @@
 		return errors.Trace(err)
 	}
 	defer stop()
-	t := aTarget(0)
+	t := newTarget(0)
 	t.Address = l.Addr().String()
-	orders := p.Orders(t)
-	defer orders.Close()
+	client := p.Orders(t)
+	defer client.Close()
 	count := 0
-	var failed error
-	m.LookCPU = perCall(least, func(i int) {
-		if _, err := orders.Renew(context.Background(), runs.RenewOrder{Until: int64(i), Epoch: 1 << 40, WaitMillis: 350}); err != nil {
-			failed = err
+	var lastErr error
+	m.LookCPU = cpuPerCall(minTime, func(i int) {
+		if _, err := client.Renew(context.Background(), runs.RenewOrder{Until: int64(i), Epoch: 1 << 40, WaitMillis: 350}); err != nil {
+			lastErr = err
 		}
 		count++
 	})
 	m.LookBytes = float64(l.bytes.Load()) / float64(count)
 	at := fmt.Sprintf("%d runs", n)
-	m.cpu("one renewal of the leases on a target, the stand-in included", at, m.LookCPU)
-	m.point("one renewal of the leases on a target and its answer, without TCP and IP headers", at, m.LookBytes, "bytes")
-	return errors.Trace(failed)
+	m.addCPU("one renewal of the leases on a target, the stand-in included", at, m.LookCPU)
+	m.addPoint("one renewal of the leases on a target and its answer, without TCP and IP headers", at, m.LookBytes, "bytes")
+	return errors.Trace(lastErr)
 }
--- a/internal/capacity/logs.go
+++ b/internal/capacity/logs.go
@@ -13,89 +13,92 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// linesOfASink is up to how many failures of a kind a new sink writes: below its
-// budget of a second.
-const linesOfASink = 50
+// linesPerSink is how many failures of a kind are written through one sink. It is
+// below the sink's budget per second.
+const linesPerSink = 50
 
-// countingOut counts what is written, or never takes it.
-type countingOut struct {
+// countingWriter counts the bytes and calls of Write. If blocked is set, Write blocks until
+// it is closed.
+type countingWriter struct {
 	bytes, writes atomic.Int64
-	stuck         chan struct{}
+	blocked       chan struct{}
 }
 
-func (o *countingOut) Write(p []byte) (int, error) {
-	if o.stuck != nil {
-		<-o.stuck
+func (o *countingWriter) Write(p []byte) (int, error) {
+	if o.blocked != nil {
+		<-o.blocked
 	}
 	o.bytes.Add(int64(len(p)))
 	o.writes.Add(1)
 	return len(p), nil
 }
 
-// logTo returns a sink that counts and writes, as a process has it.
-func logTo(w io.Writer) *eventlog.Sink {
+// newSink returns an event sink with metrics and a JSON log, as in an entry's process.
+func newSink(w io.Writer) *eventlog.Sink {
 	return eventlog.New(metrics.New(timeline.Discard{}), slog.New(slog.NewJSONHandler(w, nil)).With("entry", "edge-zone-1", "availability_zone", "zone"))
 }
 
-// measureLog measures one event without a line, with one, and with one for a reader
-// that has stopped reading, and the most that a second brings.
-func measureLog(m *Slopes, least time.Duration) error {
-	out := &countingOut{}
-	w := eventlog.NewWriter(out)
-	busy := logTo(w)
-	m.LeftOutCPU = perCall(least, func(i int) { busy.Record(aStart(i, "")) })
-	m.cpu("one event without a line, counted for the figures", "log on, over its budget", m.LeftOutCPU)
-	m.LineCPU = m.lines(w, least)
-	m.cpu("one event with a line", "log on", m.LineCPU)
-	w.Close()
-	stuck := &countingOut{stuck: make(chan struct{})}
-	blocked := eventlog.NewWriter(stuck)
-	m.cpu("one event with a line", "log on, its reader does not read", m.lines(blocked, least))
-	close(stuck.stuck)
-	blocked.Close()
-	return m.fullSecond(least)
+// measureLog measures one event without a log line, one with a line, and one with a line
+// while the reader of the log has stopped reading. It also measures the log volume per
+// second.
+func measureLog(m *Slopes, minTime time.Duration) error {
+	out := &countingWriter{}
+	writer := eventlog.NewWriter(out)
+	overBudget := newSink(writer)
+	m.LeftOutCPU = cpuPerCall(minTime, func(i int) { overBudget.Record(startEvent(i, "")) })
+	m.addCPU("one event without a line, counted for the figures", "log on, over its budget", m.LeftOutCPU)
+	m.LineCPU = m.cpuPerLine(writer, minTime)
+	m.addCPU("one event with a line", "log on", m.LineCPU)
+	writer.Close()
+	blockedOut := &countingWriter{blocked: make(chan struct{})}
+	blockedWriter := eventlog.NewWriter(blockedOut)
+	m.addCPU("one event with a line", "log on, its reader does not read", m.cpuPerLine(blockedWriter, minTime))
+	close(blockedOut.blocked)
+	blockedWriter.Close()
+	return m.measureLogVolume(minTime)
 }
 
-// lines writes lines through sinks that are replaced before their budget ends.
-func (m *Slopes) lines(w io.Writer, least time.Duration) time.Duration {
+// cpuPerLine returns the processor time per event with a log line. It replaces each sink
+// before the sink's budget is exhausted.
+func (m *Slopes) cpuPerLine(w io.Writer, minTime time.Duration) time.Duration {
 	var s *eventlog.Sink
-	return perCall(least, func(i int) {
-		if i%linesOfASink == 0 {
-			s = logTo(w)
+	return cpuPerCall(minTime, func(i int) {
+		if i%linesPerSink == 0 {
+			s = newSink(w)
 		}
-		s.Record(aStart(i, job.TargetLost))
+		s.Record(startEvent(i, job.TargetLost))
 	})
 }
 
-func aStart(i int, reason job.Reason) timeline.Event {
+func startEvent(i int, reason job.Reason) timeline.Event {
 	return timeline.Event{
 		Kind: timeline.TaskStarted, Submission: job.ID(fmt.Sprintf("%016x", i)), Task: 1, Target: "i-0123456789", Reason: reason,
 		Took: time.Millisecond, Count: 3, Cause: "least expected finish of the targets with room",
 	}
 }
 
-// requestKinds are the events of a request on its way.
+// requestKinds are the kinds of the events of one request, in order.
 var requestKinds = []timeline.Kind{
 	timeline.SubmissionReceived, timeline.SubmissionAdmitted, timeline.BatchOffered, timeline.BatchReceived, timeline.TaskQueued,
 	timeline.TaskStarted, timeline.TaskEnded, timeline.BatchReported, timeline.SubmissionAnswered,
 }
 
-// fullSecond counts what an entry writes in a second in which all goes well, and in
-// one in which all fails.
-func (m *Slopes) fullSecond(least time.Duration) error {
+// measureLogVolume measures the bytes that an entry logs per second if all requests
+// succeed and if all fail.
+func (m *Slopes) measureLogVolume(minTime time.Duration) error {
 	for _, c := range []struct {
 		name   string
 		reason job.Reason
-		into   *float64
+		result *float64
 	}{{"all goes well", "", &m.LogBytes}, {"all fails", job.TargetLost, &m.LogBytesFailing}} {
-		out := &countingOut{}
+		out := &countingWriter{}
 		w := eventlog.NewWriter(out)
-		s := logTo(w)
-		took := min(time.Second, 10*least)
-		const rate = 500 // requests a second
+		s := newSink(w)
+		took := min(time.Second, 10*minTime)
+		const rate = 500 // requests per second
 		for i := range int(rate * took.Seconds()) {
 			for _, kind := range requestKinds {
-				ev := aStart(i, "")
+				ev := startEvent(i, "")
 				ev.Kind = kind
 				if kind == timeline.TaskEnded || kind == timeline.BatchReported || kind == timeline.SubmissionAnswered {
 					ev.Reason = c.reason
@@ -106,8 +109,8 @@
 		}
 		s.Flush()
 		w.Close()
-		*c.into = float64(out.bytes.Load()) / took.Seconds()
-		m.point("bytes of the log in a second, to their reader", fmt.Sprintf("%d requests, %s", rate, c.name), *c.into, "bytes a second")
+		*c.result = float64(out.bytes.Load()) / took.Seconds()
+		m.addPoint("bytes of the log in a second, to their reader", fmt.Sprintf("%d requests, %s", rate, c.name), *c.result, "bytes a second")
 	}
 	return nil
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -16,7 +16,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// Point is one measurement at one size of one thing.
+// Point is one measurement of one quantity at one size.
 type Point struct {
 	What  string  `json:"what"`
 	At    string  `json:"at"`
@@ -24,7 +24,7 @@
 	Unit  string  `json:"unit"`
 }
 
-// Slopes are the costs of one more of each thing.
+// Slopes are the marginal costs: what one more target, event, task and so on costs.
 type Slopes struct {
 	Points []Point
 
@@ -33,10 +33,10 @@
 	TargetBytes  float64
 	ExpireCPU    time.Duration
 	ForwardBytes float64
-	// Rest is what links and heartbeats take, by the number of entries.
+	// Rest is the cost of links and heartbeats, by the number of entries.
 	Rest []AtRest
-	// BaseCore and BaseMemory are what an entry without peers takes at rest, its
-	// empty ring included.
+	// BaseCore and BaseMemory are the cost of an idle entry without peers, including
+	// its empty ring.
 	BaseCore     float64
 	BaseMemory   float64
 	ParseCPU     time.Duration
@@ -50,43 +50,45 @@
 	SplitCPU     time.Duration
 	QuotaCPU     time.Duration
 	QueuedBytes  float64
-	// LookCPU and LookBytes are one renewal of the leases on a busy target, Exchange
-	// one exchange of known entries.
+	// LookCPU and LookBytes are the cost of one renewal of the leases on a busy target.
+	// Exchange is the cost of one exchange of known entries, by the number of entries.
 	LookCPU   time.Duration
 	LookBytes float64
 	Exchange  []AtExchange
-	// LeftOutCPU and LineCPU are one event without and with a line, LogBytes and
-	// LogBytesFailing the log of a second.
+	// LeftOutCPU and LineCPU are the cost of one event without and with a log line.
+	// LogBytes and LogBytesFailing are the log volume per second while all requests
+	// succeed and while all fail.
 	LeftOutCPU      time.Duration
 	LineCPU         time.Duration
 	LogBytes        float64
 	LogBytesFailing float64
 }
 
-func (m *Slopes) point(what, at string, value float64, unit string) {
+func (m *Slopes) addPoint(what, at string, value float64, unit string) {
 	m.Points = append(m.Points, Point{What: what, At: at, Value: value, Unit: unit})
 }
 
-func (m *Slopes) cpu(what, at string, d time.Duration) {
-	m.point(what, at, float64(d.Nanoseconds())/1000, "µs of processor time")
+func (m *Slopes) addCPU(what, at string, d time.Duration) {
+	m.addPoint(what, at, float64(d.Nanoseconds())/1000, "µs of processor time")
 }
 
-// Measurement measures one part and sets its slopes.
-type Measurement func(m *Slopes, least time.Duration) error
+// Measurement measures one part of the costs and sets its fields of m. minTime is the minimum
+// processor time per measured value.
+type Measurement func(m *Slopes, minTime time.Duration) error
 
-// Parts are all measurements, in order.
+// Parts returns all measurements in order.
 func Parts(p Platform) []Measurement {
 	return []Measurement{
-		measureRenewals, measureExpiry, measureForwards, measureLooks(p), measurePeers, measureDiscovery, measureLog, measureConfiguration, measureTimeline,
+		measureAnnouncements, measureExpiry, measureForwards, measureLeaseRenewals(p), measurePeers, measureDiscovery, measureLog, measureConfiguration, measureTimeline,
 		measureSchedule, measureSplit, measureQuotas, measureQueue, measurePath,
 	}
 }
 
-// Measure runs all measurements one after the other.
+// Measure runs all measurements sequentially.
 func Measure(p Platform) (*Slopes, error) {
 	m := &Slopes{}
 	for _, part := range Parts(p) {
-		if err := part(m, leastTime); err != nil {
+		if err := part(m, minMeasureTime); err != nil {
 			return m, errors.Trace(err)
 		}
 	}
@@ -95,7 +97,7 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-func aTarget(i int) job.Target {
+func newTarget(i int) job.Target {
 	return job.Target{
 		ID: job.TargetID(fmt.Sprintf("worker-%04d", i)), Pool: "p", Zone: "z", Rack: fmt.Sprintf("r%d", i/8),
 		Address: fmt.Sprintf("10.1.%d.%d:7000", i/250, i%250+1), Slots: 8, Connections: 64,
@@ -103,8 +105,8 @@
 	}
 }
 
-// aFile is a configuration of the given teams and services.
-func aFile(teams, services int) []byte {
+// newConfigFile returns a configuration with the given numbers of teams and services.
+func newConfigFile(teams, services int) []byte {
 	var b strings.Builder
 	b.WriteString("number: 1\nteams:\n")
 	for i := range teams {
@@ -118,95 +120,96 @@
 	return []byte(b.String())
 }
 
-func parsed(teams, services int) (*config.File, error) {
-	f, err := config.Parse("capacity", aFile(teams, services))
+func parseConfigFile(teams, services int) (*config.File, error) {
+	f, err := config.Parse("capacity", newConfigFile(teams, services))
 	return f, errors.Trace(err)
 }
 
-func measureExpiry(m *Slopes, least time.Duration) error {
+func measureExpiry(m *Slopes, minTime time.Duration) error {
 	at := func(n int) time.Duration {
 		r := target.NewRegistry("z", config.Fixed{})
 		for i := range n {
-			_, _, _ = r.Announce(epoch, aTarget(i))
+			_, _, _ = r.Announce(epoch, newTarget(i))
 		}
-		d := perCall(least, func(int) { r.Expire(epoch) })
-		m.cpu("one scan for lapsed leases", fmt.Sprintf("%d targets", n), d)
+		d := cpuPerCall(minTime, func(int) { r.Expire(epoch) })
+		m.addCPU("one scan for lapsed leases", fmt.Sprintf("%d targets", n), d)
 		return d
 	}
 	const few, many = 50, 800
 	low, high := at(few), at(many)
 	m.ExpireCPU = (high - low) / (many - few)
-	held := heapOf(func() any {
+	heapSize := retainedHeap(func() any {
 		r, p := target.NewRegistry("z", config.Fixed{}), scheduler.New("p", 1)
 		for i := range many {
-			_, _, _ = r.Announce(epoch, aTarget(i))
-			p.SetTarget(epoch, aTarget(i))
+			_, _, _ = r.Announce(epoch, newTarget(i))
+			p.SetTarget(epoch, newTarget(i))
 		}
 		return []any{r, p}
 	})
-	m.TargetBytes = held / many
-	m.point("memory of one held target", fmt.Sprintf("%d targets", many), m.TargetBytes, "bytes")
+	m.TargetBytes = heapSize / many
+	m.addPoint("memory of one held target", fmt.Sprintf("%d targets", many), m.TargetBytes, "bytes")
 	return nil
 }
 
-func measureConfiguration(m *Slopes, least time.Duration) error {
+func measureConfiguration(m *Slopes, minTime time.Duration) error {
 	for _, teams := range []int{7, 63} {
-		body := aFile(teams, TwoYearsServices)
+		body := newConfigFile(teams, TwoYearsServices)
 		if _, err := config.Parse("capacity", body); err != nil {
 			return errors.Trace(err)
 		}
-		m.ParseCPU = perCall(least, func(int) { _, _ = config.Parse("capacity", body) })
+		m.ParseCPU = cpuPerCall(minTime, func(int) { _, _ = config.Parse("capacity", body) })
 		m.ConfigBytes = float64(len(body))
-		m.cpu("parsing and checking one file", fmt.Sprintf("%d teams", teams), m.ParseCPU)
-		m.point("size of one file", fmt.Sprintf("%d teams", teams), m.ConfigBytes, "bytes")
-		m.ConfigMemory = m.ConfigBytes + heapOf(func() any { f, _ := config.Parse("capacity", body); return f })
+		m.addCPU("parsing and checking one file", fmt.Sprintf("%d teams", teams), m.ParseCPU)
+		m.addPoint("size of one file", fmt.Sprintf("%d teams", teams), m.ConfigBytes, "bytes")
+		m.ConfigMemory = m.ConfigBytes + retainedHeap(func() any { f, _ := config.Parse("capacity", body); return f })
 	}
 	return nil
 }
 
-// TwoYearsServices is the number of services of the size to come.
+// TwoYearsServices is the number of services expected within two years.
 const TwoYearsServices = 20
 
-func measureTimeline(m *Slopes, least time.Duration) error {
+func measureTimeline(m *Slopes, minTime time.Duration) error {
 	ring := timeline.NewRing("e", timeline.NewClock(nil), 0)
 	ids := make([]job.ID, 1024)
 	for i := range ids {
 		ids[i] = job.ID(fmt.Sprintf("01J%023d", i))
 	}
-	m.EventCPU = perCall(least, func(i int) {
+	m.EventCPU = cpuPerCall(minTime, func(i int) {
 		ring.Record(timeline.Event{Kind: timeline.TaskStarted, Submission: ids[i%len(ids)], Task: i, Target: "worker-0001"})
 	})
-	m.cpu("one event", "ring full", m.EventCPU)
-	m.RingMemory = heapOf(func() any {
+	m.addCPU("one event", "ring full", m.EventCPU)
+	m.RingMemory = retainedHeap(func() any {
 		r := timeline.NewRing("e", timeline.NewClock(nil), 0)
 		for i := range timeline.DefaultRingEvents {
 			r.Record(timeline.Event{Kind: timeline.TaskStarted, Submission: job.ID(fmt.Sprintf("01J%023d", i)), Cause: strings.Repeat("c", 40)})
 		}
 		return r
 	})
-	m.EmptyRing = heapOf(func() any { return timeline.NewRing("e", timeline.NewClock(nil), 0) })
-	m.point("memory of one full ring", fmt.Sprintf("%d events", timeline.DefaultRingEvents), m.RingMemory, "bytes")
-	m.point("memory of one empty ring", fmt.Sprintf("%d events", timeline.DefaultRingEvents), m.EmptyRing, "bytes")
+	m.EmptyRing = retainedHeap(func() any { return timeline.NewRing("e", timeline.NewClock(nil), 0) })
+	m.addPoint("memory of one full ring", fmt.Sprintf("%d events", timeline.DefaultRingEvents), m.RingMemory, "bytes")
+	m.addPoint("memory of one empty ring", fmt.Sprintf("%d events", timeline.DefaultRingEvents), m.EmptyRing, "bytes")
 	return nil
 }
 
-// cycle offers a job, starts what it can and ends it, as a holder does.
-func cycle(p *scheduler.Pool, now time.Time, b *job.Batch) int {
-	p.Offer(now, b)
+// offerAndFinish offers a batch, and starts and finishes its tasks, as a holder does. It
+// returns the number of started tasks.
+func offerAndFinish(pool *scheduler.Pool, now time.Time, b *job.Batch) int {
+	pool.Offer(now, b)
 	started := 0
 	for {
-		d := p.Next(now)
+		d := pool.Next(now)
 		if len(d.Starts) == 0 {
 			return started
 		}
 		started += len(d.Starts)
 		for _, s := range d.Starts {
-			p.Finished(now.Add(100*time.Millisecond), s.Key, scheduler.Result{Ran: 100 * time.Millisecond, Status: job.TaskDone})
+			pool.Finished(now.Add(100*time.Millisecond), s.Key, scheduler.Result{Ran: 100 * time.Millisecond, Status: job.TaskDone})
 		}
 	}
 }
 
-func aBatch(i, tasks, teams int) *job.Batch {
+func newBatch(i, tasks, teams int) *job.Batch {
 	b := &job.Batch{
 		Owner: job.Owner{Entry: "e"}, Submission: job.ID(fmt.Sprintf("job-%d", i)),
 		Team: fmt.Sprintf("team%02d", i%teams), Service: "service00", Tasks: make([]job.BatchTask, tasks),
@@ -217,45 +220,45 @@
 	return b
 }
 
-func measureSchedule(m *Slopes, least time.Duration) error {
+func measureSchedule(m *Slopes, minTime time.Duration) error {
 	for _, c := range []struct{ targets, teams, tasks int }{
 		{55, 63, 10}, {55, 7, 10}, {55, 63, 1}, {55, 63, 100}, {400, 63, 10}, {2700, 63, 10},
 	} {
-		file, err := parsed(c.teams, 1)
+		file, err := parseConfigFile(c.teams, 1)
 		if err != nil {
 			return errors.Trace(err)
 		}
 		p := scheduler.New("p", 1)
 		p.Configure(epoch, file)
 		for i := range c.targets {
-			p.SetTarget(epoch, aTarget(i))
+			p.SetTarget(epoch, newTarget(i))
 		}
 		now := epoch
-		per := perCall(least, func(i int) {
+		perTask := cpuPerCall(minTime, func(i int) {
 			now = now.Add(time.Millisecond)
-			cycle(p, now, aBatch(i, c.tasks, c.teams))
+			offerAndFinish(p, now, newBatch(i, c.tasks, c.teams))
 		}) / time.Duration(c.tasks)
-		m.cpu("choosing, starting and ending one task", fmt.Sprintf("%d targets, %d teams, jobs of %d tasks", c.targets, c.teams, c.tasks), per)
+		m.addCPU("choosing, starting and ending one task", fmt.Sprintf("%d targets, %d teams, jobs of %d tasks", c.targets, c.teams, c.tasks), perTask)
 		if c.targets == 55 && c.teams == 63 && c.tasks == 10 {
-			m.ScheduleCPU = per
+			m.ScheduleCPU = perTask
 		}
 	}
 	return nil
 }
 
-func measureQueue(m *Slopes, least time.Duration) error {
+func measureQueue(m *Slopes, minTime time.Duration) error {
 	const jobs, tasks = 1000, 10
-	file, err := parsed(7, 1)
+	file, err := parseConfigFile(7, 1)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	refused := 0
-	held := heapOf(func() any {
+	heapSize := retainedHeap(func() any {
 		p := scheduler.NewWith("p", 1, scheduler.Options{NoAdmission: true})
 		p.Configure(epoch, file)
-		p.SetTarget(epoch, aTarget(0))
+		p.SetTarget(epoch, newTarget(0))
 		for i := range jobs {
-			b := aBatch(i, tasks, 7)
+			b := newBatch(i, tasks, 7)
 			for t := range b.Tasks {
 				b.Tasks[t].Payload = make([]byte, 200)
 			}
@@ -266,14 +269,14 @@
 		return p
 	})
 	if refused > 0 {
-		return errors.Errorf("%d of %d jobs were refused in place of waiting", refused, jobs)
+		return errors.Errorf("%d of %d jobs were refused instead of queued", refused, jobs)
 	}
-	m.QueuedBytes = held / (jobs * tasks)
-	m.point("memory of one waiting task with a payload of 200 bytes", fmt.Sprintf("%d waiting", jobs*tasks), m.QueuedBytes, "bytes")
+	m.QueuedBytes = heapSize / (jobs * tasks)
+	m.addPoint("memory of one waiting task with a payload of 200 bytes", fmt.Sprintf("%d waiting", jobs*tasks), m.QueuedBytes, "bytes")
 	return nil
 }
 
-func measureSplit(m *Slopes, least time.Duration) error {
+func measureSplit(m *Slopes, minTime time.Duration) error {
 	for _, holders := range []int{7, 49} {
 		s := split.New("e0", "z0", split.DefaultCosts(), 1)
 		for i := range holders {
@@ -283,32 +286,32 @@
 			})
 		}
 		tasks := make([]job.BatchTask, 10)
-		m.SplitCPU = perCall(least, func(int) {
+		m.SplitCPU = cpuPerCall(minTime, func(int) {
 			for _, part := range s.Split(epoch, "p", job.UrgencyInteractive, tasks).Parts {
 				s.Returned("p", part.Entry, len(part.Tasks), 100*time.Millisecond)
 			}
 		})
-		m.cpu("splitting one job of 10 tasks", fmt.Sprintf("%d holders", holders), m.SplitCPU)
+		m.addCPU("splitting one job of 10 tasks", fmt.Sprintf("%d holders", holders), m.SplitCPU)
 	}
 	return nil
 }
 
-func measureQuotas(m *Slopes, least time.Duration) error {
+func measureQuotas(m *Slopes, minTime time.Duration) error {
 	for _, teams := range []int{7, 63} {
-		file, err := parsed(teams, 1)
+		file, err := parseConfigFile(teams, 1)
 		if err != nil {
 			return errors.Trace(err)
 		}
 		q := quota.New()
 		q.Configure(file, 1)
-		m.QuotaCPU = perCall(least, func(i int) {
+		m.QuotaCPU = cpuPerCall(minTime, func(i int) {
 			team := file.Teams[i%teams].Name
 			now := epoch.Add(time.Duration(i) * time.Millisecond)
 			if q.Admit(now, team, 10).Allowed {
 				q.Done(now, team, 10)
 			}
 		})
-		m.cpu("one job through its team's quota", fmt.Sprintf("%d teams", teams), m.QuotaCPU)
+		m.addCPU("one job through its team's quota", fmt.Sprintf("%d teams", teams), m.QuotaCPU)
 	}
 	return nil
 }
--- a/internal/capacity/meter.go
+++ b/internal/capacity/meter.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// leastTime is how much processor time one measurement takes at least; the
-// clock of the operating system then adds under 1%.
-const leastTime = 300 * time.Millisecond
+// minMeasureTime is the minimum processor time of one measurement. It keeps the
+// error from the operating system's clock under 1%.
+const minMeasureTime = 300 * time.Millisecond
 
-// processorTime returns the user and system time of this process, the
-// collector's included.
-func processorTime() time.Duration {
+// cpuTime returns the user and system time of this process, including that of
+// the garbage collector.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		// The call fails only for a wrong argument.
+		// The call fails only for an invalid argument.
 		panic(err)
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// perCall returns the processor time of one call of f, which is called with
-// rising numbers until least has been spent.
-func perCall(least time.Duration, f func(i int)) time.Duration {
+// cpuPerCall returns the mean processor time of one call of f. It calls f with
+// increasing numbers until the process has spent minTime.
+func cpuPerCall(minTime time.Duration, f func(i int)) time.Duration {
 	runtime.GC()
-	began := processorTime()
+	start := cpuTime()
 	const step = 16
 	for calls := 0; ; {
 		for range step {
 			f(calls)
 			calls++
 		}
-		if spent := processorTime() - began; spent >= least {
+		if spent := cpuTime() - start; spent >= minTime {
 			return spent / time.Duration(calls)
 		}
 	}
 }
 
-// heapOf returns the heap that what build returns keeps.
-func heapOf(build func() any) float64 {
-	before := heap()
-	kept := build()
-	after := heap()
-	runtime.KeepAlive(kept)
+// retainedHeap returns the heap, in bytes, that the result of build retains.
+func retainedHeap(build func() any) float64 {
+	before := heapBytes()
+	result := build()
+	after := heapBytes()
+	runtime.KeepAlive(result)
 	return max(0, float64(after)-float64(before))
 }
 
-func heap() uint64 {
-	// The first collection runs finalizers' objects free, the second counts.
+func heapBytes() uint64 {
+	// The first collection runs finalizers; the second frees their objects.
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/capacity/peers.go
+++ b/internal/capacity/peers.go
@@ -17,45 +17,45 @@
 	"github.com/vanillagrade/vanillagrade/internal/standin"
 )
 
-// restingFile has leases so long that their renewals don't show beside what
-// entries send to each other.
-const restingFile = `number: 1
+// idleConfig has leases so long that their renewals are negligible compared with
+// the messages between entries.
+const idleConfig = `number: 1
 services:
   - {name: s, pool: p, urgency: interactive}
 targets: {lease: 60s}
 `
 
-// leastRest takes in at least one heartbeat of each kind.
-const leastRest = time.Second
+// minIdleTime is long enough for at least one heartbeat of each kind.
+const minIdleTime = time.Second
 
-// shape is a fleet at rest that is measured. A discovered one finds its entries through
-// seeds and shares work across zones, so that heartbeats go to other zones as often as
-// to the own.
-type shape struct {
+// fleetShape describes an idle fleet to measure. In a discovered fleet, entries find each
+// other through seeds and share work across zones, so that they send heartbeats to other
+// zones as often as to their own.
+type fleetShape struct {
 	zones, perZone int
 	discovered     bool
 }
 
-func (s shape) String() string {
+func (s fleetShape) String() string {
 	if s.discovered {
 		return fmt.Sprintf("%d zones of %d entries, found through seeds", s.zones, s.perZone)
 	}
 	return fmt.Sprintf("%d zones of %d entries", s.zones, s.perZone)
 }
 
-// resting is what one entry takes while no work comes.
-type resting struct {
+// entryUsage is the resource usage of one entry while no work arrives.
+type entryUsage struct {
 	core  float64
 	bytes float64
 	heap  float64
 	kinds map[string]float64
 }
 
-// measurePeers lets fleets of entries stand at rest, with real links between
-// them, and measures what each entry takes. The largest has as many entries as
-// the size to come.
-func measurePeers(m *Slopes, least time.Duration) error {
-	shapes := []shape{
+// measurePeers runs idle fleets of entries with real links between them and
+// measures the cost per entry. The largest fleet covers the size expected
+// within two years.
+func measurePeers(m *Slopes, minTime time.Duration) error {
+	shapes := []fleetShape{
 		{1, 1, false},
 		{1, 3, false},
 		{7, 1, false},
@@ -66,40 +66,40 @@
 		{7, 3, true},
 		{7, 7, true},
 	}
-	if least < leastTime {
-		shapes = []shape{{1, 1, false}, {2, 2, false}, {3, 1, true}}
+	if minTime < minMeasureTime {
+		shapes = []fleetShape{{1, 1, false}, {2, 2, false}, {3, 1, true}}
 	}
-	var alone resting
+	var single entryUsage
 	for i, s := range shapes {
-		r, err := s.rest(max(10*least, leastRest))
+		r, err := s.measureIdle(max(10*minTime, minIdleTime))
 		if err != nil {
 			return errors.Annotate(err, s.String())
 		}
 		if i == 0 {
-			alone = r
+			single = r
 		}
 		at := s.String()
-		m.point("processor time of one entry at rest", at, 100*r.core, "% of a core")
+		m.addPoint("processor time of one entry at rest", at, 100*r.core, "% of a core")
 		if i > 0 {
-			m.point("messages between entries, sent and received, one entry at rest", at, r.bytes, "bytes a second")
+			m.addPoint("messages between entries, sent and received, one entry at rest", at, r.bytes, "bytes a second")
 		}
-		m.point("heap of one entry at rest, an empty ring included", at, r.heap, "bytes")
+		m.addPoint("heap of one entry at rest, an empty ring included", at, r.heap, "bytes")
 		for _, kind := range slices.Sorted(maps.Keys(r.kinds)) {
 			if r.kinds[kind] > 0 {
-				m.point("of that: "+kind, at, r.kinds[kind], "bytes a second")
+				m.addPoint("of that: "+kind, at, r.kinds[kind], "bytes a second")
 			}
 		}
 		if s.discovered {
 			m.Rest = append(m.Rest, AtRest{
-				Entries: s.zones * s.perZone, Core: max(0, r.core-alone.core), Bytes: r.bytes, Memory: max(0, r.heap-alone.heap),
+				Entries: s.zones * s.perZone, Core: max(0, r.core-single.core), Bytes: r.bytes, Memory: max(0, r.heap-single.heap),
 			})
 		}
 	}
-	m.BaseCore, m.BaseMemory = alone.core, alone.heap
+	m.BaseCore, m.BaseMemory = single.core, single.heap
 	return nil
 }
 
-// AtRest is what the links to the others take of one entry at rest.
+// AtRest is the cost of the links to all other entries for one idle entry.
 type AtRest struct {
 	Entries int
 	Core    float64
@@ -107,8 +107,8 @@
 	Memory  float64
 }
 
-// restAt returns what was measured with the number of entries nearest to n.
-func (m *Slopes) restAt(n int) AtRest {
+// nearestAtRest returns the measurement whose number of entries is nearest to n.
+func (m *Slopes) nearestAtRest(n int) AtRest {
 	var best AtRest
 	for _, r := range m.Rest {
 		if best.Entries == 0 || abs(r.Entries-n) < abs(best.Entries-n) {
@@ -120,85 +120,88 @@
 
 func abs(n int) int { return max(n, -n) }
 
-// measureForwards counts what announcements cost that reach an entry which does
-// not hold the target.
-func measureForwards(m *Slopes, least time.Duration) error {
+// measureForwards measures the bytes of forwarding announcements that arrive at an
+// entry which does not hold the target.
+func measureForwards(m *Slopes, minTime time.Duration) error {
 	const entries, targets = 3, 30
 	f, err := fleet.Start(fleet.Options{
 		Zones: []job.Zone{"z"}, EntriesPerZone: entries, TargetsPerZone: targets, Pool: "p",
-		Target: standin.Options{Processors: 8}, File: []byte(shortFile),
+		Target: standin.Options{Processors: 8}, File: []byte(shortLeaseConfig),
 	})
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer func() { _ = f.Stop() }()
-	began := time.Now()
+	start := time.Now()
 	before, err := sentBytes(f.OperatorAddresses())
 	if err != nil {
 		return errors.Trace(err)
 	}
-	time.Sleep(max(10*least, 2*leastRest))
+	time.Sleep(max(10*minTime, 2*minIdleTime))
 	after, err := sentBytes(f.OperatorAddresses())
 	if err != nil {
 		return errors.Trace(err)
 	}
-	renewals := targets * time.Since(began).Seconds() / shortRenew.Seconds()
+	renewals := targets * time.Since(start).Seconds() / shortRenewInterval.Seconds()
 	kind := peer.TargetForward.String()
-	// Each is sent by one entry and received by another.
+	// Each forward is sent by one entry and received by another.
 	m.ForwardBytes = 2 * (after[kind] - before[kind]) / renewals
-	m.point("passing one announcement on to its holder, sent and received, in the mean", fmt.Sprintf("%d entries a zone, %d targets", entries, targets), m.ForwardBytes, "bytes")
+	m.addPoint("passing one announcement on to its holder, sent and received, in the mean", fmt.Sprintf("%d entries a zone, %d targets", entries, targets), m.ForwardBytes, "bytes")
 	return nil
 }
 
-// shortFile has leases so short that a second sees many renewals.
-const shortFile = `number: 1
+// shortLeaseConfig has leases so short that many are renewed within a second.
+const shortLeaseConfig = `number: 1
 services:
   - {name: s, pool: p, urgency: interactive}
 targets: {lease: 1s}
 `
 
-// shortRenew is when targets under shortFile announce again.
-const shortRenew = time.Second / 3
+// shortRenewInterval is the interval at which targets announce under
+// shortLeaseConfig.
+const shortRenewInterval = time.Second / 3
 
-func (s shape) rest(during time.Duration) (resting, error) {
-	before := heap()
+func (s fleetShape) measureIdle(period time.Duration) (entryUsage, error) {
+	before := heapBytes()
 	zones := make([]job.Zone, s.zones)
 	for i := range zones {
 		zones[i] = job.Zone(fmt.Sprintf("z%d", i+1))
 	}
 	f, err := fleet.Start(fleet.Options{
 		Zones: zones, EntriesPerZone: s.perZone, TargetsPerZone: s.perZone, Pool: "p",
-		Target: standin.Options{Processors: 8}, File: []byte(restingFile), Discover: s.discovered,
+		Target: standin.Options{Processors: 8}, File: []byte(idleConfig), Discover: s.discovered,
 	})
 	if err != nil {
-		return resting{}, errors.Trace(err)
+		return entryUsage{}, errors.Trace(err)
 	}
 	defer func() { _ = f.Stop() }()
 	entries := float64(s.zones * s.perZone)
-	// The first second holds the joining of the links and the first file.
-	time.Sleep(during / 2)
-	used := max(0, float64(heap())-float64(before)) / entries
+	// Exclude the startup, when entries establish links and process the first
+	// configuration.
+	time.Sleep(period / 2)
+	heap := max(0, float64(heapBytes())-float64(before)) / entries
 	bytesBefore, err := sentBytes(f.OperatorAddresses())
 	if err != nil {
-		return resting{}, errors.Trace(err)
+		return entryUsage{}, errors.Trace(err)
 	}
-	cpu, began := processorTime(), time.Now()
-	time.Sleep(during)
-	spent, took := processorTime()-cpu, time.Since(began)
+	cpu, start := cpuTime(), time.Now()
+	time.Sleep(period)
+	spent, elapsed := cpuTime()-cpu, time.Since(start)
 	bytesAfter, err := sentBytes(f.OperatorAddresses())
 	if err != nil {
-		return resting{}, errors.Trace(err)
+		return entryUsage{}, errors.Trace(err)
 	}
-	r := resting{core: spent.Seconds() / took.Seconds() / entries, heap: used, kinds: map[string]float64{}}
+	r := entryUsage{core: spent.Seconds() / elapsed.Seconds() / entries, heap: heap, kinds: map[string]float64{}}
 	for kind, n := range bytesAfter {
 		// Each message is sent once and received once.
-		r.kinds[kind] = 2 * (n - bytesBefore[kind]) / took.Seconds() / entries
+		r.kinds[kind] = 2 * (n - bytesBefore[kind]) / elapsed.Seconds() / entries
 		r.bytes += r.kinds[kind]
 	}
 	return r, nil
 }
 
-// sentBytes sums what all entries have sent to each other, by kind.
+// sentBytes returns the bytes that all entries have sent to each other, by kind
+// of message.
 func sentBytes(operators []string) (map[string]float64, error) {
 	sum := map[string]float64{}
 	for _, address := range operators {
--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -1,6 +1,6 @@
 // Package capacity measures how the costs of an entry grow with targets, teams,
-// tasks, events and changes, and works out from these slopes what a size that
-// can't be run on one machine takes.
+// tasks, events and changes. From these slopes it computes the cost of a fleet
+// that is too large to run on one machine.
 package capacity
 
 import (
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// Size is a fleet to work out.
+// Size is the size of a fleet whose cost is computed.
 type Size struct {
 	Regions int
 	Zones   int
-	// Entries is the entry VMs of all zones together.
+	// Entries is the total number of entry VMs in all zones.
 	Entries int
 	Targets int
-	// Starts is task starts a second of the whole fleet at its peak.
+	// Starts is the peak rate of task starts in the whole fleet, per second.
 	Starts float64
-	// TasksPerJob is the mean; the largest job has 1,900.
+	// TasksPerJob is the mean; the largest job has 1,900 tasks.
 	TasksPerJob float64
 	Teams       int
 	Services    int
-	// Changes is accepted configurations a day.
+	// Changes is the number of accepted configurations per day.
 	Changes float64
-	// Renew is the time between two announcements of one target.
+	// Renew is the interval between announcements of one target.
 	Renew time.Duration
 }
 
-// TwoYears is the size that the users expect within two years. Entries and
-// TasksPerJob are assumptions: three entry VMs a zone, so that a zone bears the
-// loss of one and then of a second, and jobs of ten tasks in the mean. Renew
+// TwoYears returns the size that the users expect within two years. Entries and
+// TasksPerJob are assumptions: three entry VMs per zone, so that a zone tolerates
+// the loss of one and then of a second, and a mean of ten tasks per job. Renew
 // follows from the default lease.
 func TwoYears() Size {
 	return Size{
@@ -38,38 +38,39 @@
 	}
 }
 
-// TargetsPerEntry is how many targets one entry holds.
+// TargetsPerEntry returns the mean number of targets that one entry holds.
 func (s *Size) TargetsPerEntry() float64 { return float64(s.Targets) / float64(s.Entries) }
 
-// StartsPerEntry is how many tasks one entry starts a second at the peak.
+// StartsPerEntry returns the peak rate of task starts at one entry, per second.
 func (s *Size) StartsPerEntry() float64 { return s.Starts / float64(s.Entries) }
 
-// RenewalsPerEntry is how many announcements one entry takes a second.
+// RenewalsPerEntry returns the rate of announcements at one entry, per second.
 func (s *Size) RenewalsPerEntry() float64 { return s.TargetsPerEntry() / s.Renew.Seconds() }
 
-// ChangesPerSecond is the mean rate of accepted configurations.
+// ChangesPerSecond returns the mean rate of accepted configurations.
 func (s *Size) ChangesPerSecond() float64 { return s.Changes / (24 * time.Hour).Seconds() }
 
-// Budget of control for one daemon.
+// Budget for control work in one daemon: cores, bytes of memory, and bytes per
+// second on the network.
 const (
 	BudgetCore   = 0.025
 	BudgetMemory = 64 << 20
 	BudgetBytes  = 6 << 10
 )
 
-// Cost is what one thing takes of one daemon at a size.
+// Cost is the cost of one mechanism in one daemon at a given size.
 type Cost struct {
 	What string
-	// Core is processor time a second, in cores; Bytes is sent and received a
-	// second; Memory is in bytes.
+	// Core is processor time in cores. Bytes is the network traffic, sent and
+	// received, in bytes per second. Memory is in bytes.
 	Core   float64
 	Bytes  float64
 	Memory float64
-	// Mechanism names what carries it.
+	// Mechanism describes what causes the cost.
 	Mechanism string
 }
 
-// Sum adds up costs.
+// Sum returns the sum of costs.
 func Sum(costs []Cost) Cost {
 	sum := Cost{What: "sum"}
 	for _, c := range costs {
@@ -80,9 +81,9 @@
 	return sum
 }
 
-// Control returns what control takes of one entry at the size.
+// Control returns the costs of control work in one entry at the size.
 func Control(s *Size, m *Slopes) []Cost {
-	rest, known := m.restAt(s.Entries), m.exchangeAt(s.Entries)
+	rest, known := m.nearestAtRest(s.Entries), m.nearestExchange(s.Entries)
 	return []Cost{
 		{What: "the process itself", Core: m.BaseCore, Memory: m.BaseMemory, Mechanism: "one process, no work yet, the ring's slots allotted"},
 		{
@@ -91,7 +92,7 @@
 			Mechanism: "each target announces to its zone, one entry holds it (rendezvous hash)",
 		},
 		{
-			What: "lapsed leases", Core: s.TargetsPerEntry() * m.ExpireCPU.Seconds() * expiresPerSecond,
+			What: "lapsed leases", Core: s.TargetsPerEntry() * m.ExpireCPU.Seconds() * expiryScansPerSecond,
 			Mechanism: "one scan of the held leases each 250 ms",
 		},
 		{
@@ -103,8 +104,8 @@
 			Mechanism: fmt.Sprintf("an exchange with one entry each 2 s, asked and answered; measured with %d entries", known.Entries),
 		},
 		{
-			What: "leases of runs", Core: s.TargetsPerEntry() * looksPerSecond * m.LookCPU.Seconds(),
-			Bytes:     s.TargetsPerEntry() * looksPerSecond * m.LookBytes,
+			What: "leases of runs", Core: s.TargetsPerEntry() * leaseRenewalsPerSecond * m.LookCPU.Seconds(),
+			Bytes:     s.TargetsPerEntry() * leaseRenewalsPerSecond * m.LookBytes,
 			Mechanism: "one renewal a busy target for all its runs, which waits there for their ends; none where nothing runs",
 		},
 		{
@@ -119,29 +120,30 @@
 	}
 }
 
-// looksPerSecond is how often the leases on a busy target are renewed where no run of it
-// ends: each 0.35 s.
-const looksPerSecond = 1 / 0.35
+// leaseRenewalsPerSecond is the rate at which the leases on a busy target are renewed while
+// none of its runs ends: every 0.35 s.
+const leaseRenewalsPerSecond = 1 / 0.35
 
-// exchangesPerSecond is how many exchanges of known entries one entry takes part in: it
-// asks each two seconds and is asked as often in the mean.
+// exchangesPerSecond is the rate of exchanges of known entries that one entry takes part
+// in: it sends a request every two seconds and receives as many on average.
 const exchangesPerSecond = 1
 
-// expiresPerSecond is how often the leases are scanned.
-const expiresPerSecond = 4
+// expiryScansPerSecond is the rate of scans for expired leases.
+const expiryScansPerSecond = 4
 
-// eventsPerTask is how many events one started task leaves at its holder:
-// queued, started, ended.
+// eventsPerTask is the number of events that the holder records for one started
+// task: queued, started, ended.
 const eventsPerTask = 3
 
-// eventsPerJob is how many events one job leaves beside those of its tasks: received,
-// admitted, answered, and a batch offered, received and reported at two holders.
+// eventsPerJob is the number of events of one job without those of its tasks: received,
+// admitted, answered, and a batch offered, received and reported at each of two holders.
 const eventsPerJob = 9
 
-// linesPerSecond is how many lines of successful steps a busy entry writes: 20 a kind.
-const linesPerSecond = 20 * 9
+// logLinesPerSecond is the rate of log lines for successful steps at a busy entry: 20 per
+// kind of event.
+const logLinesPerSecond = 20 * 9
 
-// Work returns what the work itself takes of one entry at the peak.
+// Work returns the costs of the work itself in one entry at the peak.
 func Work(s *Size, m *Slopes) []Cost {
 	jobs := s.StartsPerEntry() / s.TasksPerJob
 	return []Cost{
@@ -157,7 +159,7 @@
 		{What: "of that: teams' quotas", Core: jobs * m.QuotaCPU.Seconds(), Mechanism: "one bucket a team and entry"},
 		{
 			What:      "log",
-			Core:      (s.StartsPerEntry()*eventsPerTask+jobs*eventsPerJob)*m.LeftOutCPU.Seconds() + linesPerSecond*m.LineCPU.Seconds(),
+			Core:      (s.StartsPerEntry()*eventsPerTask+jobs*eventsPerJob)*m.LeftOutCPU.Seconds() + logLinesPerSecond*m.LineCPU.Seconds(),
 			Bytes:     m.LogBytes,
 			Mechanism: "a budget of lines by kind, ids of the rest; the bytes go to the log's reader, not to other entries",
 		},
--- a/internal/capacity/wire.go
+++ b/internal/capacity/wire.go
@@ -24,13 +24,13 @@
 	"github.com/vanillagrade/vanillagrade/internal/target"
 )
 
-// announcer takes announcements as an entry does that holds all targets.
-type announcer struct {
+// registryAnnouncer accepts announcements like an entry that holds all targets.
+type registryAnnouncer struct {
 	registry *target.Registry
 	pool     *scheduler.Pool
 }
 
-func (a *announcer) Announce(_ context.Context, t job.Target) (lease, renew time.Duration, err error) {
+func (a *registryAnnouncer) Announce(_ context.Context, t job.Target) (lease, renew time.Duration, err error) {
 	now := time.Now()
 	lease, renew, err = a.registry.Announce(now, t)
 	if err == nil {
@@ -39,25 +39,26 @@
 	return lease, renew, err
 }
 
-func (a *announcer) Withdraw(context.Context, job.TargetID) error { return nil }
+func (a *registryAnnouncer) Withdraw(context.Context, job.TargetID) error { return nil }
 
-// exchange is one connection of a client that costs little itself.
-type exchange struct {
+// rawClient is a low-overhead HTTP client on a single connection.
+type rawClient struct {
 	conn   net.Conn
 	reader *bufio.Reader
 	bytes  int
 }
 
-func dial(address string) (*exchange, error) {
+func dial(address string) (*rawClient, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	return &exchange{conn: conn, reader: bufio.NewReader(conn)}, nil
+	return &rawClient{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// do sends an encoded request and reads the answer, counting the bytes of both.
-func (e *exchange) do(request []byte) error {
+// roundTrip sends an encoded request and reads the answer, and counts the bytes
+// of both.
+func (e *rawClient) roundTrip(request []byte) error {
 	if _, err := e.conn.Write(request); err != nil {
 		return errors.Trace(err)
 	}
@@ -78,7 +79,8 @@
 	return nil
 }
 
-func encoded(method, address, path string, body any) ([]byte, error) {
+// encodeRequest returns an HTTP request with a JSON body, encoded for the wire.
+func encodeRequest(method, address, path string, body any) ([]byte, error) {
 	content, err := json.Marshal(body)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -93,9 +95,9 @@
 	return out.Bytes(), errors.Trace(err)
 }
 
-func measureRenewals(m *Slopes, least time.Duration) error {
+func measureAnnouncements(m *Slopes, minTime time.Duration) error {
 	for _, n := range []int{50, 800} {
-		a := &announcer{registry: target.NewRegistry("z", config.Fixed{}), pool: scheduler.New("p", 1)}
+		a := &registryAnnouncer{registry: target.NewRegistry("z", config.Fixed{}), pool: scheduler.New("p", 1)}
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return errors.Trace(err)
@@ -105,7 +107,7 @@
 		go func() {
 			done <- api.Serve(ctx, api.Server(api.Targets(a), slog.New(slog.DiscardHandler)), listener, time.Second)
 		}()
-		err = m.renewals(listener.Addr().String(), n, least)
+		err = m.measureAnnouncementsOf(listener.Addr().String(), n, minTime)
 		cancel()
 		<-done
 		if err != nil {
@@ -115,11 +117,12 @@
 	return nil
 }
 
-func (m *Slopes) renewals(address string, n int, least time.Duration) error {
+// measureAnnouncementsOf measures the announcements of n targets.
+func (m *Slopes) measureAnnouncementsOf(address string, n int, minTime time.Duration) error {
 	requests := make([][]byte, n)
 	for i := range requests {
-		t := aTarget(i)
-		request, err := encoded(http.MethodPut, address, target.TargetsPath+string(t.ID), t)
+		t := newTarget(i)
+		request, err := encodeRequest(http.MethodPut, address, target.TargetsPath+string(t.ID), t)
 		if err != nil {
 			return errors.Trace(err)
 		}
@@ -131,25 +134,25 @@
 	}
 	defer func() { _ = e.conn.Close() }()
 	count := 0
-	var failed error
-	m.RenewalCPU = perCall(least, func(i int) {
-		if err := e.do(requests[i%n]); err != nil {
-			failed = err
+	var lastErr error
+	m.RenewalCPU = cpuPerCall(minTime, func(i int) {
+		if err := e.roundTrip(requests[i%n]); err != nil {
+			lastErr = err
 		}
 		count++
 	})
 	m.RenewalBytes = float64(e.bytes) / float64(count)
 	at := fmt.Sprintf("%d targets held", n)
-	m.cpu("one announcement over HTTP, its small client included", at, m.RenewalCPU)
-	m.point("one announcement and its answer, without TCP and IP headers", at, m.RenewalBytes, "bytes")
-	return errors.Trace(failed)
+	m.addCPU("one announcement over HTTP, its small client included", at, m.RenewalCPU)
+	m.addPoint("one announcement and its answer, without TCP and IP headers", at, m.RenewalBytes, "bytes")
+	return errors.Trace(lastErr)
 }
 
-// measurePath sends jobs of tasks that take no time through one entry, with the
-// time line and the log on and off. The processor time is that of the whole process: entry,
-// stand-in targets and callers, so it bounds the entry's own from above.
-func measurePath(m *Slopes, least time.Duration) error {
-	file, err := parsed(TwoYears().Teams, 1)
+// measurePath sends jobs whose tasks take no time through one entry, with the time line
+// and the log on and off. The processor time includes the entry, the stand-in targets and
+// the callers, so it is an upper bound on that of the entry.
+func measurePath(m *Slopes, minTime time.Duration) error {
+	file, err := parseConfigFile(TwoYears().Teams, 1)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -164,14 +167,14 @@
 		{"time line on", fleet.Options{}},
 		{"time line, figures and log on", fleet.Options{LogEvents: true, Log: log}},
 	} {
-		if err := m.path(file, o.name, o.fleet, least); err != nil {
+		if err := m.measureTaskPath(file, o.name, o.fleet, minTime); err != nil {
 			return errors.Trace(err)
 		}
 	}
 	return nil
 }
 
-func (m *Slopes) path(file *config.File, name string, o fleet.Options, least time.Duration) error {
+func (m *Slopes) measureTaskPath(file *config.File, name string, o fleet.Options, minTime time.Duration) error {
 	const targets = 8
 	o.Zones, o.EntriesPerZone, o.TargetsPerZone, o.Pool = []job.Zone{"z"}, 1, targets, "p"
 	o.Target, o.Config = standin.Options{Processors: 32, MemoryMB: 65536}, config.Fixed{File: file}
@@ -186,24 +189,24 @@
 		return errors.Trace(err)
 	}
 	for _, tasks := range []int{1, 10, 100} {
-		per, err := m.jobs(f.CallerAddresses("")[0], tasks, 3*least)
+		perTask, err := m.cpuPerTask(f.CallerAddresses("")[0], tasks, 3*minTime)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		m.cpu("one task through one entry, targets and caller included", fmt.Sprintf("jobs of %d tasks, %s", tasks, name), per)
+		m.addCPU("one task through one entry, targets and caller included", fmt.Sprintf("jobs of %d tasks, %s", tasks, name), perTask)
 		if tasks == 10 {
-			m.TaskCPU = per
+			m.TaskCPU = perTask
 		}
 	}
 	return nil
 }
 
-func (m *Slopes) jobs(address string, tasks int, least time.Duration) (time.Duration, error) {
+func (m *Slopes) cpuPerTask(address string, tasks int, minTime time.Duration) (time.Duration, error) {
 	body := api.JobRequest{Team: "team00", Service: "service00", Tasks: make([]job.TaskSpec, tasks)}
 	for i := range body.Tasks {
 		body.Tasks[i].Payload = json.RawMessage(`{}`)
 	}
-	request, err := encoded(http.MethodPost, address, "/v1/jobs", body)
+	request, err := encodeRequest(http.MethodPost, address, "/v1/jobs", body)
 	if err != nil {
 		return 0, errors.Trace(err)
 	}
@@ -212,11 +215,11 @@
 		return 0, errors.Trace(err)
 	}
 	defer func() { _ = e.conn.Close() }()
-	var failed error
-	per := perCall(least, func(int) {
-		if err := e.do(request); err != nil {
-			failed = err
+	var lastErr error
+	perJob := cpuPerCall(minTime, func(int) {
+		if err := e.roundTrip(request); err != nil {
+			lastErr = err
 		}
 	})
-	return per / time.Duration(tasks), errors.Trace(failed)
+	return perJob / time.Duration(tasks), errors.Trace(lastErr)
 }
--- a/internal/capacity/write.go
+++ b/internal/capacity/write.go
@@ -8,7 +8,7 @@
 	"github.com/juju/errors"
 )
 
-// WritePoints writes what was measured as Markdown.
+// WritePoints writes the measured points as a Markdown table.
 func WritePoints(w io.Writer, m *Slopes) error {
 	var out strings.Builder
 	out.WriteString("| measured | at | value | unit |\n|---|---|---|---|\n")
@@ -19,7 +19,8 @@
 	return errors.Trace(err)
 }
 
-// WriteSize writes what the slopes come to at the size as Markdown.
+// WriteSize writes the costs at the size, computed from the slopes, as Markdown
+// tables.
 func WriteSize(w io.Writer, s *Size, m *Slopes) error {
 	var out strings.Builder
 	fmt.Fprintf(&out, "\nAt %d targets, %d entries in %d availability zones, %.0f task starts a second in jobs of %.0f tasks, %.0f changes a day, an announcement each %s:\n\n",
@@ -27,17 +28,17 @@
 	out.WriteString("| control, each entry | % of a core | bytes a second | MB | carried by |\n|---|---|---|---|---|\n")
 	costs := Control(s, m)
 	for _, c := range append(costs, Sum(costs)) {
-		c.row(&out)
+		c.writeRow(&out)
 	}
-	Cost{What: "budget", Core: BudgetCore, Bytes: BudgetBytes, Memory: BudgetMemory}.row(&out)
+	Cost{What: "budget", Core: BudgetCore, Bytes: BudgetBytes, Memory: BudgetMemory}.writeRow(&out)
 	out.WriteString("\n| work, each entry at the peak | % of a core | bytes a second | MB | carried by |\n|---|---|---|---|---|\n")
 	for _, c := range Work(s, m) {
-		c.row(&out)
+		c.writeRow(&out)
 	}
 	_, err := io.WriteString(w, out.String())
 	return errors.Trace(err)
 }
 
-func (c Cost) row(out *strings.Builder) {
+func (c Cost) writeRow(out *strings.Builder) {
 	fmt.Fprintf(out, "| %s | %.2f | %.0f | %.1f | %s |\n", c.What, 100*c.Core, c.Bytes, c.Memory/(1<<20), c.Mechanism)
 }
