--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -15,15 +15,17 @@
 	"github.com/vanillagrade/vanillagrade/internal/target"
 )
 
-// Times of announcing. A failed announcement is repeated soon, since a target
-// that is unknown to the entries gets no work.
+// Limits of announcements. The retry delay is short, since a target that the
+// entries don't know receives no work.
 const (
-	announceTimeout = 2 * time.Second
-	announceAgain   = 200 * time.Millisecond
-	maxGrantBytes   = 4096
+	announceTimeout    = 2 * time.Second
+	announceRetryDelay = 200 * time.Millisecond
+	maxGrantBytes      = 4096
 )
 
-func (t *Target) announce(ctx context.Context) {
+// announceLoop announces the target until ctx ends. After a failure it tries the
+// next entry.
+func (t *Target) announceLoop(ctx context.Context) {
 	if len(t.opts.Entries) == 0 {
 		return
 	}
@@ -34,12 +36,14 @@
 		if err != nil {
 			t.opts.Log.Warn("announcement failed", "target", t.opts.ID, "entry", entry, "error", err)
 			next++
-			wait = announceAgain
+			wait = announceRetryDelay
 		}
 		_ = sleep(ctx, wait)
 	}
 }
 
+// announceOnce announces the target to one entry and returns the delay until
+// the next announcement.
 func (t *Target) announceOnce(ctx context.Context, entry string) (time.Duration, error) {
 	body, err := json.Marshal(t.announcement())
 	if err != nil {
@@ -78,8 +82,8 @@
 	}
 }
 
-// withdraw tells the first entry that listens that the target leaves. Nothing
-// is lost when none does: the lease lapses.
+// withdraw notifies the first reachable entry that the target stops. If no
+// entry is reachable, the target's lease expires.
 func (t *Target) withdraw() {
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -6,66 +6,68 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// ledgerKeys is how many tasks one generation of a ledger remembers. Two
-// generations at about 100 bytes a task keep a stand-in that runs for days
-// under about 100 MB; a second start within the last half million is seen.
-const ledgerKeys = 500_000
+// maxGenerationTasks bounds the tasks in one generation of a ledger. Two
+// generations at about 100 bytes per task keep a stand-in that runs for days
+// under about 100 MB. A second start is detected among the last half million
+// tasks.
+const maxGenerationTasks = 500_000
 
 type taskKey struct {
 	submission job.ID
 	index      int
 }
 
-// Ledger counts starts by task and so sees a task that was started twice.
+// Ledger records the starts of tasks and detects a task that is started twice.
 type Ledger struct {
-	mu      sync.Mutex
-	starts  uint64
-	doubled uint64
-	recent  map[taskKey]struct{}
-	older   map[taskKey]struct{}
+	mu            sync.Mutex
+	starts        uint64
+	doubledStarts uint64
+	current       map[taskKey]struct{}
+	previous      map[taskKey]struct{}
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{recent: make(map[taskKey]struct{})} }
+func NewLedger() *Ledger { return &Ledger{current: make(map[taskKey]struct{})} }
 
-func (l *Ledger) start(key taskKey) {
+func (l *Ledger) recordStart(key taskKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.starts++
-	if l.knows(key) {
-		l.doubled++
+	if l.contains(key) {
+		l.doubledStarts++
 		return
 	}
-	if len(l.recent) >= ledgerKeys {
-		l.older = l.recent
-		l.recent = make(map[taskKey]struct{})
+	if len(l.current) >= maxGenerationTasks {
+		l.previous = l.current
+		l.current = make(map[taskKey]struct{})
 	}
-	l.recent[key] = struct{}{}
+	l.current[key] = struct{}{}
 }
 
-// Starts returns how many tasks were started.
+// Starts returns the number of task starts.
 func (l *Ledger) Starts() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.starts
 }
 
-// DoubledStarts returns how many starts were of a task started before.
+// DoubledStarts returns the number of repeated starts of a task.
 func (l *Ledger) DoubledStarts() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.doubled
+	return l.doubledStarts
 }
 
-// Started reports whether a task was started, as far as the ledger reaches.
+// Started reports whether a task was started, within the tasks that the ledger
+// remembers.
 func (l *Ledger) Started(submission job.ID, index int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.knows(taskKey{submission, index})
+	return l.contains(taskKey{submission, index})
 }
 
-func (l *Ledger) knows(key taskKey) bool {
-	_, inRecent := l.recent[key]
-	_, inOlder := l.older[key]
+func (l *Ledger) contains(key taskKey) bool {
+	_, inRecent := l.current[key]
+	_, inOlder := l.previous[key]
 	return inRecent || inOlder
 }
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -15,24 +15,25 @@
 	"github.com/vanillagrade/vanillagrade/internal/target"
 )
 
-// maxPayload bounds a task's body, in bytes.
+// maxPayload bounds the body of a task request, in bytes.
 const maxPayload = 64 << 20
 
-// errTold is the failure that a payload asked for.
-const errTold = errors.ConstError("told to fail")
+// errFailureRequested is the failure that a payload or Options.FailAll requests.
+const errFailureRequested = errors.ConstError("failure requested")
 
-// Payload is what the built-in work reads. A payload that is no such JSON
-// object is work that takes no time.
+// Payload is the task payload that the built-in work reads. If the payload is
+// not such a JSON object, the work takes no time.
 type Payload struct {
 	SleepMillis int64 `json:"sleep_ms"`
 	Fail        bool  `json:"fail"`
-	// Size is how many bytes of filling the answer carries.
+	// Size is the number of filler bytes in the answer.
 	Size int `json:"size"`
-	// Nonce comes back in the answer, so that a caller sees whose it is.
+	// Nonce is returned in the answer, so that a caller can match the answer to
+	// its task.
 	Nonce string `json:"nonce"`
 }
 
-// Answer is what the built-in work answers.
+// Answer is the answer of the built-in work.
 type Answer struct {
 	Task      string       `json:"task"`
 	Target    job.TargetID `json:"target"`
@@ -64,7 +65,7 @@
 }
 
 func (t *Target) serveTask(w http.ResponseWriter, r *http.Request) {
-	key, err := keyOf(r)
+	key, err := parseTaskKey(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -74,14 +75,14 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, status := t.begin(key)
+	ctx, status := t.startTask(key)
 	if status != http.StatusOK {
 		w.Header().Set(target.HeaderRun, target.RunNotRun)
 		http.Error(w, "no free slot", status)
 		return
 	}
-	answer, err := t.work(ctx, key, payload)
-	t.end(key, err)
+	answer, err := t.runWork(ctx, key, payload)
+	t.finishTask(key, err)
 	w.Header().Set(target.HeaderTask, target.TaskName(key.submission, key.index))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -91,12 +92,13 @@
 	_, _ = w.Write(answer)
 }
 
-// begin takes a slot. Work does not end with the connection that asked for it:
-// a real worker goes on when the dispatcher dies, and so does this one.
-func (t *Target) begin(key taskKey) (context.Context, int) {
+// startTask takes a slot for a task and returns the task's context. The context
+// does not end with the connection of the request: like a real worker, the
+// stand-in continues a task after the dispatcher dies.
+func (t *Target) startTask(key taskKey) (context.Context, int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.leaving {
+	if t.draining {
 		t.refused++
 		return nil, http.StatusServiceUnavailable
 	}
@@ -104,21 +106,22 @@
 		t.refused++
 		return nil, http.StatusTooManyRequests
 	}
-	t.ledger.start(key)
-	if _, twice := t.running[key]; twice {
-		// The ledger has counted the doubled start. A second entry of the map
-		// would lose the first one's slot.
+	t.ledger.recordStart(key)
+	if _, alreadyRunning := t.running[key]; alreadyRunning {
+		// The ledger has already counted the doubled start. Replacing the map
+		// entry would free the slot of the first start too early.
 		t.refused++
 		return nil, http.StatusConflict
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.running[key] = cancel
-	t.most = max(t.most, len(t.running))
+	t.maxRunning = max(t.maxRunning, len(t.running))
 	t.workDone.Add(1)
 	return ctx, http.StatusOK
 }
 
-func (t *Target) end(key taskKey, err error) {
+// finishTask frees the slot of a task and counts its result.
+func (t *Target) finishTask(key taskKey, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running[key]()
@@ -134,9 +137,9 @@
 	}
 }
 
-func (t *Target) work(ctx context.Context, key taskKey, payload []byte) ([]byte, error) {
+func (t *Target) runWork(ctx context.Context, key taskKey, payload []byte) ([]byte, error) {
 	if t.opts.FailAll {
-		return nil, errors.Trace(errTold)
+		return nil, errors.Trace(errFailureRequested)
 	}
 	if t.opts.Work != nil {
 		return t.opts.Work(ctx, key.submission, key.index, payload)
@@ -145,17 +148,17 @@
 	if json.Unmarshal(payload, &p) != nil {
 		p = Payload{}
 	}
-	begun := time.Now()
+	start := time.Now()
 	if err := sleep(ctx, time.Duration(float64(p.SleepMillis)*float64(time.Millisecond)/t.opts.Speed)); err != nil {
 		return nil, errors.Trace(err)
 	}
 	if p.Fail {
-		return nil, errors.Trace(errTold)
+		return nil, errors.Trace(errFailureRequested)
 	}
 	return json.Marshal(Answer{
 		Task:      target.TaskName(key.submission, key.index),
 		Target:    t.opts.ID,
-		RanMillis: float64(time.Since(begun).Microseconds()) / 1000,
+		RanMillis: float64(time.Since(start).Microseconds()) / 1000,
 		Nonce:     p.Nonce,
 		Filling:   strings.Repeat("x", max(0, p.Size)),
 	})
@@ -176,7 +179,7 @@
 }
 
 func (t *Target) serveStop(w http.ResponseWriter, r *http.Request) {
-	key, err := keyOf(r)
+	key, err := parseTaskKey(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -197,7 +200,7 @@
 	_ = json.NewEncoder(w).Encode(t.Counters())
 }
 
-// Counters returns what the stand-in has counted so far.
+// Counters returns the current counters of the stand-in.
 func (t *Target) Counters() Counters {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -209,22 +212,22 @@
 		Failed:         t.failed,
 		Stopped:        t.stopped,
 		Running:        len(t.running),
-		MaxConcurrent:  t.most,
+		MaxConcurrent:  t.maxRunning,
 		Connections:    t.conns,
-		MaxConnections: t.mostConns,
+		MaxConnections: t.maxConns,
 	}
 }
 
-// Starts returns how many tasks were started.
+// Starts returns the number of task starts.
 func (t *Target) Starts() uint64 { return t.ledger.Starts() }
 
-// DoubledStarts returns how many starts were of a task started before.
+// DoubledStarts returns the number of repeated starts of a task.
 func (t *Target) DoubledStarts() uint64 { return t.ledger.DoubledStarts() }
 
-// MaxConcurrent returns the most tasks that ran at one time.
+// MaxConcurrent returns the maximum number of tasks that ran concurrently.
 func (t *Target) MaxConcurrent() int { return t.Counters().MaxConcurrent }
 
-func keyOf(r *http.Request) (taskKey, error) {
+func parseTaskKey(r *http.Request) (taskKey, error) {
 	index, err := strconv.Atoi(r.PathValue("index"))
 	if err != nil || index < 0 {
 		return taskKey{}, errors.NotValidf("task index %q", r.PathValue("index"))
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin is a small target for trials, tests and measurement. It
-// announces itself, runs tasks that sleep for as long as their payload says,
-// and counts what it started, so that a task started twice is seen.
+// Package standin provides a small target for trials, tests and measurements. It
+// announces itself, runs tasks that sleep for the time in their payload, and
+// counts starts to detect a task that is started twice.
 package standin
 
 import (
@@ -17,21 +17,21 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Time limits of the stand-in's server. The idle limit is well above the one
-// of the dispatcher's client, so that the client closes an idle connection
-// first: otherwise a task is sometimes written into a connection that is just
-// being closed, and its fate is unknown.
+// Timeouts of the stand-in's server. The idle timeout is well above that of the
+// dispatcher's client, so that the client closes an idle connection first.
+// Otherwise the client sometimes writes a task to a connection that is just
+// being closed, and can't know whether the task runs.
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
 	stopTimeout       = 10 * time.Second
 )
 
-// Work runs one task and returns its answer. ctx ends when the task is to stop.
+// Work runs one task and returns its answer. ctx is cancelled to stop the task.
 type Work func(ctx context.Context, submission job.ID, index int, payload []byte) ([]byte, error)
 
-// Options describes one stand-in. Zero Slots and Connections take the defaults
-// of the configuration file.
+// Options configures one stand-in. If Slots or Connections is zero, it has the
+// default of the configuration file.
 type Options struct {
 	ID           job.TargetID
 	Service      string
@@ -42,21 +42,22 @@
 	Processors   int
 	MemoryMB     int
 	Accelerators int
-	// Listen is the address to listen on, "127.0.0.1:0" by default; Listener,
-	// where given, is used in its place.
+	// Listen is the address to listen on, "127.0.0.1:0" by default. Listener, if
+	// set, is used instead.
 	Listen   string
 	Listener net.Listener
-	// Entries are caller addresses ("IP:PORT") to announce to; one that does
-	// not answer is passed over. Without any the target does not announce.
+	// Entries are caller addresses ("IP:PORT") to announce to. An entry that does
+	// not answer is skipped. If there are none, the target does not announce.
 	Entries []string
-	// Work replaces the built-in work, which sleeps as the payload says.
+	// Work replaces the built-in work, which sleeps for the time in the payload.
 	Work Work
-	// Speed divides the built-in sleep: 0.1 is a slow target. Zero means 1.
+	// Speed divides the time of the built-in sleep: 0.1 makes a slow target. Zero
+	// means 1.
 	Speed float64
-	// FailAll makes each task fail at once.
+	// FailAll makes each task fail immediately.
 	FailAll bool
-	// Ledger counts starts; several stand-ins may share one, which then sees a
-	// task that was started on two of them.
+	// Ledger records starts. Stand-ins may share a ledger, which then also
+	// detects a task that is started on two of them.
 	Ledger *Ledger
 	Client *http.Client
 	Log    *slog.Logger
@@ -69,21 +70,21 @@
 	server   *http.Server
 	ledger   *Ledger
 
-	mu        sync.Mutex
-	running   map[taskKey]context.CancelFunc
-	leaving   bool
-	most      int
-	served    uint64
-	refused   uint64
-	failed    uint64
-	stopped   uint64
-	unused    map[net.Conn]struct{}
-	conns     int
-	mostConns int
-	workDone  sync.WaitGroup
+	mu          sync.Mutex
+	running     map[taskKey]context.CancelFunc
+	draining    bool
+	maxRunning  int
+	served      uint64
+	refused     uint64
+	failed      uint64
+	stopped     uint64
+	unusedConns map[net.Conn]struct{}
+	conns       int
+	maxConns    int
+	workDone    sync.WaitGroup
 }
 
-// New returns a stand-in that already listens, so that its address is known.
+// New returns a stand-in that is already listening, so that its address is known.
 func New(opts Options) (*Target, error) {
 	opts = withDefaults(opts)
 	l := opts.Listener
@@ -95,11 +96,11 @@
 		}
 	}
 	t := &Target{
-		opts:     opts,
-		listener: l,
-		ledger:   opts.Ledger,
-		running:  make(map[taskKey]context.CancelFunc),
-		unused:   make(map[net.Conn]struct{}),
+		opts:        opts,
+		listener:    l,
+		ledger:      opts.Ledger,
+		running:     make(map[taskKey]context.CancelFunc),
+		unusedConns: make(map[net.Conn]struct{}),
 	}
 	t.server = &http.Server{
 		Handler:           t.handler(),
@@ -139,15 +140,15 @@
 // Addr returns the address that the stand-in listens on, "IP:PORT".
 func (t *Target) Addr() string { return t.listener.Addr().String() }
 
-// Run serves and announces until ctx ends. Then it withdraws, takes no new
-// task, lets running ones end and returns.
+// Run serves and announces until ctx ends. Then it refuses new tasks, withdraws
+// the target, waits for running tasks and returns.
 func (t *Target) Run(ctx context.Context) error {
 	served := make(chan error, 1)
 	go func() { served <- t.server.Serve(t.listener) }()
 	announced := make(chan struct{})
 	go func() {
 		defer close(announced)
-		t.announce(ctx)
+		t.announceLoop(ctx)
 	}()
 	select {
 	case err := <-served:
@@ -155,31 +156,32 @@
 	case <-ctx.Done():
 	}
 	<-announced
-	t.leave()
+	t.startDraining()
 	t.withdraw()
 	t.workDone.Wait()
-	t.closeUnused()
+	t.closeUnusedConns()
 	stop, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	return errors.Annotatef(t.server.Shutdown(stop), "stand-in %s", t.opts.ID)
 }
 
-// Kill drops the listener and all connections at once, as a dying VM does.
+// Kill closes the listener and all connections immediately, like a VM that
+// crashes.
 func (t *Target) Kill() error { return errors.Trace(t.server.Close()) }
 
-func (t *Target) leave() {
+func (t *Target) startDraining() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leaving = true
+	t.draining = true
 }
 
-// closeUnused closes connections on which nothing was ever sent. The client's
-// transport opens some in advance, and the server's shutdown would wait for
-// them for five seconds.
-func (t *Target) closeUnused() {
+// closeUnusedConns closes connections that never carried a request. The client's
+// transport opens some in advance, and Server.Shutdown would wait five seconds
+// for them.
+func (t *Target) closeUnusedConns() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for c := range t.unused {
+	for c := range t.unusedConns {
 		_ = c.Close()
 	}
 }
@@ -188,13 +190,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s != http.StateNew {
-		delete(t.unused, c)
+		delete(t.unusedConns, c)
 	}
 	switch s {
 	case http.StateNew:
-		t.unused[c] = struct{}{}
+		t.unusedConns[c] = struct{}{}
 		t.conns++
-		t.mostConns = max(t.mostConns, t.conns)
+		t.maxConns = max(t.maxConns, t.conns)
 	case http.StateClosed, http.StateHijacked:
 		t.conns--
 	case http.StateActive, http.StateIdle:
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -19,7 +19,7 @@
 	mu        sync.Mutex
 	announced []job.Target
 	withdrawn []string
-	seen      chan struct{}
+	renewed   chan struct{}
 }
 
 func (f *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,7 @@
 	_ = json.NewDecoder(r.Body).Decode(&t)
 	f.announced = append(f.announced, t)
 	if len(f.announced) == 2 {
-		close(f.seen)
+		close(f.renewed)
 	}
 	_ = json.NewEncoder(w).Encode(target.Grant{LeaseMillis: 100, RenewMillis: 1})
 }
@@ -47,16 +47,16 @@
 }
 
 func TestAnnouncesRenewsAndWithdraws(t *testing.T) {
-	entry := &fakeEntry{seen: make(chan struct{})}
+	entry := &fakeEntry{renewed: make(chan struct{})}
 	server := httptest.NewServer(entry)
 	defer server.Close()
-	dead := "127.0.0.1:1" // passed over
-	s, err := New(Options{ID: "t1", Service: "thumbs", Zone: "a", Entries: []string{dead, server.Listener.Addr().String()}})
+	unreachable := "127.0.0.1:1" // skipped
+	s, err := New(Options{ID: "t1", Service: "thumbs", Zone: "a", Entries: []string{unreachable, server.Listener.Addr().String()}})
 	qt.Assert(t, err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
-	<-entry.seen
+	<-entry.renewed
 	cancel()
 	qt.Assert(t, <-ended, qt.IsNil)
 	qt.Assert(t, entry.withdrawn, qt.DeepEquals, []string{"/v1/targets/t1"})
