--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -1,6 +1,5 @@
-// Package trial measures policies side by side: it starts the fleet of a mix in
-// this process once for each policy, sends each the same arrivals and returns
-// the reports.
+// Package trial compares policies. For each policy it starts the fleet of a mix
+// in this process, sends the same arrivals and reports the results.
 package trial
 
 import (
@@ -18,16 +17,16 @@
 	"github.com/vanillagrade/vanillagrade/internal/standin"
 )
 
-// Policy is a named set of decisions that are switched on.
+// Policy is a named set of scheduling options.
 type Policy struct {
 	Name      string
 	Scheduler scheduler.Options
 }
 
-// Ours is the policy with every decision on.
+// Ours returns the policy with all scheduling features enabled.
 func Ours() Policy { return Policy{Name: "ours"} }
 
-// Baselines are plainer policies, to compare with.
+// Baselines returns simpler policies for comparison.
 func Baselines() []Policy {
 	return []Policy{
 		{"plain", scheduler.Baseline()},
@@ -37,11 +36,11 @@
 	}
 }
 
-// readyTime bounds how long a fleet may take until all targets are known.
-const readyTime = 20 * time.Second
+// readyTimeout bounds the time until the entries of a fleet know all targets.
+const readyTimeout = 20 * time.Second
 
-// Run sends the mix to a fresh fleet for each policy, one after the other, so
-// that they don't take each other's processor time.
+// Run sends the mix to a new fleet for each policy. It runs them sequentially,
+// so that they don't compete for processor time.
 func Run(ctx context.Context, spec load.Spec, policies []Policy) ([]load.Report, error) {
 	body, err := os.ReadFile(spec.Configuration)
 	if err != nil {
@@ -50,10 +49,10 @@
 	if _, err := config.Parse(spec.Configuration, body); err != nil {
 		return nil, errors.Trace(err)
 	}
-	evenOut(&spec.Fleet)
+	roundUpPerZone(&spec.Fleet)
 	var reports []load.Report
 	for _, policy := range policies {
-		report, err := one(ctx, spec, policy, body)
+		report, err := measurePolicy(ctx, spec, policy, body)
 		if err != nil {
 			return reports, errors.Annotatef(err, "policy %q", policy.Name)
 		}
@@ -65,8 +64,9 @@
 	return reports, nil
 }
 
-// evenOut rounds targets and entries up to the same number in each zone.
-func evenOut(f *load.Fleet) {
+// roundUpPerZone rounds the numbers of targets and entries up to multiples of
+// the number of zones.
+func roundUpPerZone(f *load.Fleet) {
 	if len(f.Zones) == 0 {
 		f.Zones = []string{"one"}
 	}
@@ -75,17 +75,18 @@
 	f.Entries = (f.Entries + zones - 1) / zones * zones
 }
 
-func one(ctx context.Context, spec load.Spec, policy Policy, file []byte) (report load.Report, err error) {
-	running, err := fleet.Start(options(&spec.Fleet, policy, file))
+// measurePolicy runs the load on a new fleet with the policy.
+func measurePolicy(ctx context.Context, spec load.Spec, policy Policy, file []byte) (report load.Report, err error) {
+	running, err := fleet.Start(fleetOptions(&spec.Fleet, policy, file))
 	if err != nil {
 		return load.Report{}, errors.Trace(err)
 	}
 	defer func() {
-		if stopped := running.Stop(); err == nil {
-			err = errors.Trace(stopped)
+		if stopErr := running.Stop(); err == nil {
+			err = errors.Trace(stopErr)
 		}
 	}()
-	ready, cancel := context.WithTimeout(ctx, readyTime)
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := running.WaitReady(ready, spec.Fleet.Capacity()); err != nil {
 		return load.Report{}, errors.Trace(err)
@@ -93,13 +94,13 @@
 	return load.Run(ctx, spec, load.Options{
 		Entries:   running.CallerAddresses(""),
 		Operators: running.OperatorAddresses(),
-		// All stand-ins share one ledger, so one of them counts for all.
+		// All stand-ins share one ledger, so one of them returns the counts of all.
 		Targets: running.TargetAddresses()[:1],
 		Policy:  policy.Name,
 	})
 }
 
-func options(f *load.Fleet, policy Policy, file []byte) fleet.Options {
+func fleetOptions(f *load.Fleet, policy Policy, file []byte) fleet.Options {
 	zones := make([]job.Zone, len(f.Zones))
 	for i, name := range f.Zones {
 		zones[i] = job.Zone(name)
@@ -111,14 +112,15 @@
 		TargetsPerRack: f.PerRack,
 		Pool:           f.Pool,
 		Target:         standin.Options{Slots: f.Slots, Processors: f.Processors, MemoryMB: f.MemoryMB, Accelerators: f.Accelerators},
-		Change:         unhealthy(f),
+		Change:         makeUnhealthy(f),
 		Scheduler:      policy.Scheduler,
 		File:           file,
 	}
 }
 
-// unhealthy makes the first targets slow and the next ones fail.
-func unhealthy(f *load.Fleet) func(int, *standin.Options) {
+// makeUnhealthy returns a change that makes the first targets slow and the next
+// ones fail.
+func makeUnhealthy(f *load.Fleet) func(int, *standin.Options) {
 	return func(index int, o *standin.Options) {
 		switch {
 		case index < f.Slow.Count:
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -9,8 +9,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/load"
 )
 
-// Policies are only comparable if each gets the same jobs and answers all of
-// them, so each report has to be whole and without a broken promise.
+// Policies are only comparable if each receives the same jobs and answers all of
+// them, so each report must be complete and pass its checks.
 func TestRunSendsEachPolicyTheSame(t *testing.T) {
 	spec, err := load.Read("../../examples/patterns/failing-targets.yaml")
 	qt.Assert(t, err, qt.IsNil)
