--- a/internal/consensus/acceptor.go
+++ b/internal/consensus/acceptor.go
@@ -1,8 +1,9 @@
 package consensus
 
-// inProgress reports whether m is about the version that this node votes on, and
-// otherwise brings the one who is behind up to date.
-func (t *step) inProgress(m *Message) bool {
+// checkVersion reports whether m concerns the version that this node votes on.
+// If m is about a later version, it requests the chosen value from the sender; if
+// m is about an earlier one, it sends the chosen value to the sender.
+func (t *step) checkVersion(m *Message) bool {
 	next := t.Chosen.Version + 1
 	if m.Version > next {
 		t.send(t.message(MsgFetch, m.From.Entry))
@@ -16,7 +17,7 @@
 }
 
 func (t *step) onPrepare(m *Message) {
-	if !t.inProgress(m) {
+	if !t.checkVersion(m) {
 		return
 	}
 	if m.Ballot.Less(t.Promised) {
@@ -30,7 +31,7 @@
 }
 
 func (t *step) onAccept(m *Message) {
-	if !t.inProgress(m) || m.Command == nil {
+	if !t.checkVersion(m) || m.Command == nil {
 		return
 	}
 	if m.Ballot.Less(t.Promised) {
--- a/internal/consensus/fuzz_test.go
+++ b/internal/consensus/fuzz_test.go
@@ -9,9 +9,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// A peer of another release, or a broken one, sends a message whose parts do not
-// fit together. A voter that crashed on it would crash again after each restart;
-// it must live on, and its chosen version must not go back.
+// A faulty peer, or one of another release, sends a message with inconsistent
+// fields. A voter that crashed on such a message would crash again after each
+// restart. It must keep running, and its chosen version must not decrease.
 func FuzzStep(f *testing.F) {
 	value := Value{Version: 1, Lineage: 1, Voters: []Voter{{"a", "a#0"}, {"b", "b#0"}, {"c", "c#0"}}}
 	next := value.Apply(configure("x", 1, "x"))
--- a/internal/consensus/learner.go
+++ b/internal/consensus/learner.go
@@ -11,8 +11,8 @@
 	if m.Version < next {
 		return
 	}
-	// The ballot is enough: one ballot carries one command, and this node voted
-	// for it knowing the same value before it.
+	// The ballot identifies the value: a ballot carries one command, and this
+	// node voted for it with the same preceding value.
 	if m.Version == next && t.Accepted != nil && t.Accepted.Ballot == m.Ballot {
 		t.install(t.Chosen.Apply(&t.Accepted.Command))
 		t.acknowledge(m.From.Entry)
@@ -48,10 +48,10 @@
 	t.sendSynced(t.message(MsgLearned, to))
 }
 
-// install makes v the chosen value. It only ever goes forward, and the promise
-// and the vote of the version that is over go with it.
+// install makes v, which must be newer than the current value, the chosen value.
+// It discards the promise and the accepted proposal of the version now decided.
 func (t *step) install(v Value) {
-	passed := v.Version - t.Chosen.Version
+	advanced := v.Version - t.Chosen.Version
 	t.Chosen = v
 	t.Promised, t.Accepted = Ballot{}, nil
 	t.dirty = true
@@ -65,10 +65,10 @@
 				continue
 			}
 		}
-		// A proposal belongs to one version: once that is over without it, it
-		// can't be chosen any more. If more versions passed than the value
-		// remembers, this can't be told.
-		if passed <= RecentLimit {
+		// A proposal belongs to one version: once that version is decided with
+		// another value, the proposal can no longer be chosen. If the node skipped
+		// more versions than Recent covers, the outcome is not known.
+		if advanced <= RecentLimit {
 			r.Proposed = false
 		}
 		queue = append(queue, r)
@@ -77,7 +77,7 @@
 	if len(t.Queue) == 0 {
 		t.Queue = nil
 	}
-	t.begin(false)
+	t.startAttempt(false)
 }
 
 func (t *step) onLearned(m *Message) {
@@ -87,18 +87,19 @@
 			t.Queue[i].CaughtUp = m.Version
 		}
 	}
-	t.settle(m)
+	t.recordAck(m)
 	if a := t.Attempt; a != nil && m.Version+1 == a.Version {
 		t.resend(m.From.Entry)
 		return
 	}
-	t.begin(false)
+	t.startAttempt(false)
 }
 
-// settle counts who holds a membership change on disk. It is answered only when
-// the new voter and a majority of the new voters hold it: otherwise the loss of
-// one more voter, right after the repair, could lose the change itself.
-func (t *step) settle(m *Message) {
+// recordAck records which voters hold a membership change on disk. The change is
+// answered only when the new voter and a majority of the new set of voters hold
+// it: otherwise the loss of one more voter right after the repair could lose the
+// change itself.
+func (t *step) recordAck(m *Message) {
 	var open []Settlement
 	for _, s := range t.Settle {
 		if m.Version >= s.Version && t.Chosen.Votes(m.From) && !slices.Contains(s.Acks, m.From) {
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -2,40 +2,41 @@
 
 import "github.com/vanillagrade/vanillagrade/internal/job"
 
-// MessageKind is the type of a Message. Numbers are on the wire.
+// MessageKind is the type of a Message. Its numbers are sent on the wire.
 type MessageKind uint8
 
 // The kinds of messages.
 const (
-	// MsgPrepare asks for a promise not to vote under a lower ballot.
+	// MsgPrepare asks a voter to promise not to vote under a lower ballot.
 	MsgPrepare MessageKind = 1
-	// MsgPromise gives it, with the proposal accepted before.
+	// MsgPromise gives that promise and carries the proposal that the voter
+	// accepted last, if any.
 	MsgPromise MessageKind = 2
-	// MsgAccept asks for a vote.
+	// MsgAccept asks a voter to vote for a command.
 	MsgAccept MessageKind = 3
-	// MsgAccepted gives it.
+	// MsgAccepted is the vote for the command of a MsgAccept.
 	MsgAccepted MessageKind = 4
-	// MsgReject names the higher ballot that was promised.
+	// MsgReject carries the higher ballot that the voter has promised.
 	MsgReject MessageKind = 5
-	// MsgChosen says under which ballot a version was chosen.
+	// MsgChosen announces the ballot under which a version was chosen.
 	MsgChosen MessageKind = 6
 	// MsgFetch asks for the latest chosen value.
 	MsgFetch MessageKind = 8
-	// MsgLearn carries it.
+	// MsgLearn carries the latest chosen value.
 	MsgLearn MessageKind = 9
-	// MsgLearned says that the sender holds the version on its disk.
+	// MsgLearned confirms that the sender holds the version on its disk.
 	MsgLearned MessageKind = 10
 )
 
-// Message goes between the nodes. Any of them may be lost, repeated or
-// overtaken by another.
+// Message is sent from one node to another. Messages may be lost, duplicated
+// and reordered.
 type Message struct {
 	Kind    MessageKind `cbor:"1,keyasint"`
 	From    Voter       `cbor:"2,keyasint"`
 	To      job.EntryID `cbor:"3,keyasint"`
 	Lineage uint64      `cbor:"4,keyasint,omitempty"`
-	// Version is the version in progress for votes, the sender's chosen version
-	// otherwise.
+	// Version is the version being decided in the messages of a ballot, and the
+	// sender's chosen version in all others.
 	Version  uint64    `cbor:"5,keyasint"`
 	Ballot   Ballot    `cbor:"6,keyasint"`
 	Accepted *Proposal `cbor:"7,keyasint,omitempty"`
@@ -43,38 +44,40 @@
 	Value    *Value    `cbor:"9,keyasint,omitempty"`
 }
 
-// Input is what happens to a node: one of Received, Synced, Submit, Abandon,
-// Retry, Finish, Lagging and Founded.
+// Input is an event at a node: one of Received, Synced, Submit, Abandon, Retry,
+// Finish, Lagging and Founded.
 type Input interface{ input() }
 
 // Received is the arrival of a message.
 type Received struct{ Message Message }
 
-// Synced is the completion of all writes up to Seq.
+// Synced reports that all writes up to Seq are on disk.
 type Synced struct{ Seq uint64 }
 
-// Submit hands a request to the node.
+// Submit submits a request to the node.
 type Submit struct {
 	Token   Token
 	Command Command
 }
 
-// Abandon ends the waiting for a request; its outcome says what is known.
+// Abandon cancels the wait for a request. Its outcome is Unavailable, or Unknown
+// if the command may still be chosen.
 type Abandon struct{ Token Token }
 
-// Retry sends again what got no answer, or starts a new attempt.
+// Retry resends the messages that got no reply, or starts a new attempt.
 type Retry struct{}
 
-// Finish completes a proposal that was accepted here and never heard of again:
-// it may have been chosen, and its operator told so, before its proposer died.
+// Finish completes a proposal that this node accepted and whose result it never
+// received: the proposal may have been chosen, and acknowledged to its operator,
+// before its proposer died.
 type Finish struct{}
 
-// Lagging says that the peer holds a newer version.
+// Lagging reports that this node lags behind Peer, which holds a newer version.
 type Lagging struct{ Peer job.EntryID }
 
 // Founded names the entries that form the register, for a node that started
-// before they were known. It is taken once, and never after the register was
-// formed.
+// before they were known. It has an effect only once, and none after the
+// register was formed.
 type Founded struct{ Genesis []job.EntryID }
 
 func (Founded) input()  {}
@@ -86,20 +89,21 @@
 func (Retry) input()    {}
 func (Finish) input()   {}
 
-// Write asks for the record to be synced. A later record replaces an earlier
-// one, so only the last of several need be written.
+// Write asks the caller to write and sync the record. A later record replaces an
+// earlier one, so of several pending writes only the last is needed.
 type Write struct {
 	Seq    uint64
 	Record Record
 }
 
-// Answer ends a request.
+// Answer reports the outcome of a request.
 type Answer struct {
 	Token   Token
 	Outcome Outcome
 }
 
-// Output is what a step asks for.
+// Output holds the messages to send, the records to write and the answers to
+// return after a step.
 type Output struct {
 	Messages []Message
 	Writes   []Write
--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -11,7 +11,7 @@
 		t.answer(r.Token, Outcome{Kind: Unavailable})
 		return
 	}
-	// A change that is known needs no round: its outcome can't change any more.
+	// A change that was already accepted needs no round: its outcome is final.
 	if r.Command.Kind == Configure {
 		if _, ok := t.Chosen.changeByID(r.Command.Change.ID); ok {
 			o, _ := t.Chosen.Decide(&r.Command)
@@ -20,7 +20,7 @@
 		}
 	}
 	t.Queue = append(slices.Clone(t.Queue), r)
-	t.begin(false)
+	t.startAttempt(false)
 }
 
 func (t *step) abandon(token Token) {
@@ -45,12 +45,13 @@
 	}
 }
 
-// begin starts an attempt if there is something to propose, or always if forced.
-func (t *step) begin(forced bool) {
+// startAttempt starts an attempt if there is a request to propose or if forced is
+// set. It does nothing if an attempt is in progress or this node is no voter.
+func (t *step) startAttempt(forced bool) {
 	if t.Attempt != nil || !t.Voting() {
 		return
 	}
-	if !forced && !t.eligible() {
+	if !forced && !t.hasEligibleRequest() {
 		return
 	}
 	if t.Chosen.Version == 0 && t.Genesis[0] != t.Self.Entry {
@@ -65,10 +66,10 @@
 	t.resend("")
 }
 
-// eligible reports whether a request can be proposed, and asks the new voter of
-// a replacement to catch up first: an empty disk that became a voter at once
-// would leave the fleet with one copy less than it counts on.
-func (t *step) eligible() bool {
+// hasEligibleRequest reports whether any request can be proposed. It sends the
+// chosen value to each new voter that must catch up first: if an empty disk
+// became a voter at once, the fleet would have one copy fewer than it relies on.
+func (t *step) hasEligibleRequest() bool {
 	found := false
 	for _, r := range t.Queue {
 		if !t.mustCatchUp(&r) {
@@ -84,8 +85,8 @@
 	return r.Command.ChangesVoters() && r.CaughtUp < t.Chosen.Version && !t.Chosen.Votes(r.Command.New)
 }
 
-// resend sends the message of the present phase to the voters that have not
-// answered it, or to one of them.
+// resend sends the message of the current phase to all voters that have not
+// answered it, or to only, if that is set and has not answered.
 func (t *step) resend(only job.EntryID) {
 	a := t.Attempt
 	for _, to := range t.peers() {
@@ -123,20 +124,20 @@
 		t.resend("")
 		return
 	}
-	t.begin(false)
+	t.startAttempt(false)
 }
 
-// current returns the attempt that m answers, or nil.
-func (t *step) current(m *Message, phase attemptPhase) *Attempt {
+// currentAttempt returns the attempt that m answers, or nil.
+func (t *step) currentAttempt(m *Message, phase attemptPhase) *Attempt {
 	a := t.Attempt
-	if a == nil || a.Phase != phase || a.Version != m.Version || a.Ballot != m.Ballot || !t.counts(m.From) {
+	if a == nil || a.Phase != phase || a.Version != m.Version || a.Ballot != m.Ballot || !t.countsVote(m.From) {
 		return nil
 	}
 	return a
 }
 
 func (t *step) onPromise(m *Message) {
-	old := t.current(m, preparing)
+	old := t.currentAttempt(m, preparing)
 	if old == nil || slices.ContainsFunc(old.Promises, func(p Promise) bool { return p.From.Entry == m.From.Entry }) {
 		return
 	}
@@ -146,7 +147,7 @@
 	if len(a.Promises) < t.quorum() {
 		return
 	}
-	command, ok := t.choose(&a)
+	command, ok := t.chooseCommand(&a)
 	if !ok {
 		t.Attempt = nil
 		return
@@ -155,9 +156,10 @@
 	t.resend("")
 }
 
-// choose returns the command to propose. A proposal that any voter of the quorum
-// has accepted may already be chosen, so the latest of them goes first.
-func (t *step) choose(a *Attempt) (Command, bool) {
+// chooseCommand returns the command to propose. A proposal that any voter of the
+// quorum has accepted may already be chosen, so the one with the highest ballot
+// takes precedence.
+func (t *step) chooseCommand(a *Attempt) (Command, bool) {
 	var latest *Proposal
 	for _, p := range a.Promises {
 		if p.Accepted != nil && (latest == nil || latest.Ballot.Less(p.Accepted.Ballot)) {
@@ -175,12 +177,13 @@
 		}
 		return Command{Kind: Form, Lineage: t.Life, Voters: voters}, true
 	}
-	return t.next()
+	return t.nextCommand()
 }
 
-// next answers the requests that need no new value and returns the first that
-// does. The quorum has just said that nothing newer than Chosen exists.
-func (t *step) next() (Command, bool) {
+// nextCommand answers the requests that need no new value and returns the command
+// of the first request that does. The quorum has just confirmed that no value
+// newer than Chosen exists.
+func (t *step) nextCommand() (Command, bool) {
 	var rest []Request
 	var command Command
 	found := false
@@ -195,7 +198,7 @@
 			found, command, r.Proposed = true, r.Command, true
 			rest = append(rest, r)
 		case r.Command.ChangesVoters() && o.Kind == Accepted:
-			t.awaitSettled(r)
+			t.awaitReplication(r)
 		default:
 			t.answer(r.Token, o)
 		}
@@ -204,7 +207,7 @@
 	return command, found
 }
 
-func (t *step) awaitSettled(r Request) {
+func (t *step) awaitReplication(r Request) {
 	s := Settlement{Token: r.Token, Version: t.Chosen.Version, New: r.Command.New}
 	t.Settle = append(slices.Clone(t.Settle), s)
 	for _, v := range t.Chosen.Voters {
@@ -213,7 +216,7 @@
 }
 
 func (t *step) onAccepted(m *Message) {
-	old := t.current(m, accepting)
+	old := t.currentAttempt(m, accepting)
 	if old == nil || slices.ContainsFunc(old.Accepts, func(v Voter) bool { return v.Entry == m.From.Entry }) {
 		return
 	}
@@ -234,8 +237,8 @@
 	t.install(t.Chosen.Apply(&a.Command))
 }
 
-// onReject gives up the ballot. The caller's next Retry starts a higher one,
-// after a random wait, so that two proposers do not chase each other for ever.
+// onReject abandons the ballot. The caller's next Retry starts a higher one, after
+// a random delay, so that two proposers do not preempt each other forever.
 func (t *step) onReject(m *Message) {
 	a := t.Attempt
 	if a == nil || a.Version != m.Version || !a.Ballot.Less(m.Ballot) {
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -7,13 +7,13 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Ballot numbers an attempt to choose a value. No two attempts share one.
+// Ballot identifies one attempt to choose a value. No two attempts share a ballot.
 type Ballot struct {
 	Round uint64      `cbor:"1,keyasint"`
 	Entry job.EntryID `cbor:"2,keyasint"`
-	// Life is drawn at each start of the proposing process. Without it a voter
-	// that crashed before its own promise was synced could use one ballot for
-	// two values.
+	// Life is the incarnation of the proposing process, drawn at random at each
+	// start. Without it, a voter that crashed before its own promise was synced
+	// could use one ballot for two values.
 	Life uint64 `cbor:"3,keyasint"`
 }
 
@@ -34,7 +34,7 @@
 	Command Command `cbor:"2,keyasint"`
 }
 
-// Record is what a voter must find again after a crash.
+// Record is the state that a voter must recover after a crash.
 type Record struct {
 	Self   Voter `cbor:"1,keyasint"`
 	Chosen Value `cbor:"2,keyasint"`
@@ -43,21 +43,22 @@
 	Accepted *Proposal `cbor:"4,keyasint"`
 }
 
-// Token names a request at one node.
+// Token identifies a request at one node.
 type Token uint64
 
-// Request asks for a command to be carried out.
+// Request is a submitted command that has not been answered.
 type Request struct {
 	Token   Token
 	Command Command
-	// Proposed is set once the command has left this node in a proposal for the
-	// version in progress: from then on it may be chosen without this node.
+	// Proposed is set once this node has proposed the command for the version
+	// being decided: from then on it may be chosen without this node.
 	Proposed bool
-	// CaughtUp is the version that the new voter of a Replace last confirmed.
+	// CaughtUp is the latest version that the new voter of a membership change
+	// has confirmed.
 	CaughtUp uint64
 }
 
-// attemptPhase is how far an attempt has come.
+// attemptPhase is the Paxos phase of an attempt.
 type attemptPhase uint8
 
 const (
@@ -71,7 +72,7 @@
 	Accepted *Proposal
 }
 
-// Attempt is one ballot of this node.
+// Attempt is the progress of one ballot of this node.
 type Attempt struct {
 	Version  uint64
 	Ballot   Ballot
@@ -81,7 +82,8 @@
 	Accepts  []Voter
 }
 
-// Settlement waits until a membership change is safe against the next loss.
+// Settlement is a chosen membership change that is not yet answered: it waits
+// until enough voters hold it for the loss of one more voter to be safe.
 type Settlement struct {
 	Token   Token
 	Version uint64
@@ -89,32 +91,33 @@
 	Acks    []Voter
 }
 
-// held are messages that must not leave before a write is complete.
-type held struct {
+// heldMessages are messages that must not be sent before write Seq is complete.
+type heldMessages struct {
 	Seq      uint64
 	Messages []Message
 }
 
-// State is one node. Its zero value is not valid; use Start. Slices and
-// pointers in it are never changed in place, so a copy of a State stays valid.
+// State is the state of one node. Its zero value is not valid; use Start. Its
+// slices and pointers are never modified in place, so a copy stays valid.
 type State struct {
 	Record
 	// Genesis are the entries that form the register, sorted.
 	Genesis []job.EntryID
-	// Life is drawn at random for each start.
+	// Life is the incarnation, drawn at random for each start.
 	Life uint64
 	// Round is the highest ballot round seen.
 	Round   uint64
 	Queue   []Request
 	Attempt *Attempt
 	Settle  []Settlement
-	// Issued and Done number the last write that was issued and completed.
+	// Issued and Done are the sequence numbers of the last write issued and
+	// the last write completed.
 	Issued uint64
 	Done   uint64
-	Held   []held
+	Held   []heldMessages
 }
 
-// Start returns a node that continues from a record.
+// Start returns the state of a node that resumes from a record.
 func Start(r Record, genesis []job.EntryID, life uint64) State {
 	names := slices.Clone(genesis)
 	slices.Sort(names)
@@ -122,7 +125,7 @@
 	return State{Record: r, Genesis: slices.Compact(names), Life: life, Round: round}
 }
 
-// Voting reports whether the node's votes count for the version in progress.
+// Voting reports whether the node's votes count for the version being decided.
 func (s *State) Voting() bool {
 	if s.Chosen.Version == 0 {
 		return slices.Contains(s.Genesis, s.Self.Entry)
@@ -130,26 +133,27 @@
 	return s.Chosen.Votes(s.Self)
 }
 
-// Busy reports whether the node waits for others: the caller then gives it a
-// Retry from time to time.
+// Busy reports whether the node waits for other nodes. While it does, the caller
+// must pass it a Retry periodically.
 func (s *State) Busy() bool {
 	return s.Attempt != nil || len(s.Queue) > 0 || len(s.Settle) > 0
 }
 
-// counts reports whether a vote of the voter counts for the version in progress.
-// A disk that the chosen value does not name never counts, even under a known
-// entry name: it may have forgotten a vote. Only the very first version goes by
-// names, and it needs all of them.
-func (s *State) counts(v Voter) bool {
+// countsVote reports whether a vote of v counts for the version being decided. The
+// vote of a disk that the chosen value does not name never counts, even under a
+// known entry name: the disk may have lost an earlier vote. Only the first version
+// is decided by entry name, and it needs the votes of all of them.
+func (s *State) countsVote(v Voter) bool {
 	if s.Chosen.Version == 0 {
 		return slices.Contains(s.Genesis, v.Entry)
 	}
 	return s.Chosen.Votes(v)
 }
 
-// quorum returns how many votes choose the version in progress. The first
-// version takes all: an entry with an empty disk can't tell whether it has voted
-// before, so the register may only be formed if every named entry is empty.
+// quorum returns the number of votes that choose the version being decided. The
+// first version needs all of them: an entry with an empty disk can't know whether
+// it has voted before, so the register may be formed only if every named entry is
+// empty.
 func (s *State) quorum() int {
 	if s.Chosen.Version == 0 {
 		return len(s.Genesis)
@@ -157,7 +161,8 @@
 	return len(s.Chosen.Voters)/2 + 1
 }
 
-// peers returns the entries that vote on the version in progress.
+// peers returns the entries that vote on the version being decided, including
+// this node if it votes.
 func (s *State) peers() []job.EntryID {
 	if s.Chosen.Version == 0 {
 		return s.Genesis
--- a/internal/consensus/step.go
+++ b/internal/consensus/step.go
@@ -10,13 +10,14 @@
 type step struct {
 	State
 	out Output
-	// dirty is set when the record changed.
+	// dirty is set when the record has changed.
 	dirty bool
-	// later are messages that rest on the record.
-	later []Message
+	// afterSync are messages that may be sent only once the record is on disk.
+	afterSync []Message
 }
 
-// Step carries out one input. It changes nothing that the given state refers to.
+// Step applies one input and returns the new state. It does not modify anything
+// that s refers to.
 func Step(s State, in Input) (State, Output) {
 	t := &step{State: s}
 	switch in := in.(type) {
@@ -33,50 +34,51 @@
 	case Lagging:
 		t.send(t.message(MsgFetch, in.Peer))
 	case Founded:
-		t.found(in.Genesis)
+		t.setGenesis(in.Genesis)
 	case Finish:
 		if t.Accepted != nil || t.Chosen.Version == 0 {
-			t.begin(true)
+			t.startAttempt(true)
 		}
 	}
-	t.finish()
+	t.flush()
 	return t.State, t.out
 }
 
-func (t *step) found(genesis []job.EntryID) {
+func (t *step) setGenesis(genesis []job.EntryID) {
 	if len(t.Genesis) > 0 || t.Chosen.Version > 0 {
 		return
 	}
 	names := slices.Clone(genesis)
 	slices.Sort(names)
 	t.Genesis = slices.Compact(names)
-	t.begin(true)
+	t.startAttempt(true)
 }
 
-// finish issues the write and holds back what rests on it.
-func (t *step) finish() {
+// flush issues a write if the record has changed, and holds back the messages
+// that depend on it until it is complete.
+func (t *step) flush() {
 	if t.dirty {
 		t.Issued++
 		t.out.Writes = append(t.out.Writes, Write{Seq: t.Issued, Record: t.Record})
 	}
-	if len(t.later) == 0 {
+	if len(t.afterSync) == 0 {
 		return
 	}
 	if t.Done == t.Issued {
-		t.out.Messages = append(t.out.Messages, t.later...)
+		t.out.Messages = append(t.out.Messages, t.afterSync...)
 		return
 	}
-	// While a disk stalls, the same messages come again and again. Each reply
-	// waits once, or the waiting replies would grow without bound.
-	waits := func(m Message) bool { return t.waits(&m) }
-	t.later = slices.DeleteFunc(t.later, waits)
-	if len(t.later) > 0 {
-		t.Held = append(slices.Clone(t.Held), held{Seq: t.Issued, Messages: t.later})
+	// While a disk stalls, peers resend the same messages. Each reply is held
+	// only once; otherwise the held replies would grow without bound.
+	isHeld := func(m Message) bool { return t.alreadyHeld(&m) }
+	t.afterSync = slices.DeleteFunc(t.afterSync, isHeld)
+	if len(t.afterSync) > 0 {
+		t.Held = append(slices.Clone(t.Held), heldMessages{Seq: t.Issued, Messages: t.afterSync})
 	}
 }
 
-// waits reports whether an equal message is held back already.
-func (s *State) waits(m *Message) bool {
+// alreadyHeld reports whether an equal message is held back already.
+func (s *State) alreadyHeld(m *Message) bool {
 	for _, h := range s.Held {
 		for i := range h.Messages {
 			k := &h.Messages[i]
@@ -133,8 +135,8 @@
 
 func (t *step) send(m Message) { t.out.Messages = append(t.out.Messages, m) }
 
-// sendSynced sends m once the record as it stands now is on disk.
-func (t *step) sendSynced(m Message) { t.later = append(t.later, m) }
+// sendSynced sends m once the current record is on disk.
+func (t *step) sendSynced(m Message) { t.afterSync = append(t.afterSync, m) }
 
 func (t *step) answer(token Token, o Outcome) {
 	t.out.Answers = append(t.out.Answers, Answer{Token: token, Outcome: o})
--- a/internal/consensus/value.go
+++ b/internal/consensus/value.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// RecentLimit is how many accepted changes a value remembers, so that a
-	// resent change gets its original outcome. At 2,900 changes a day it covers
-	// four hours, far longer than an operator's tool goes on resending, and
-	// keeps the value under 50 KB besides the file.
+	// RecentLimit is the number of accepted changes that a value remembers, so
+	// that a resent change gets its original outcome. At 2,900 changes a day it
+	// covers four hours, far longer than an operator's tool keeps resending, and
+	// it keeps the value under 50 KB plus the file.
 	RecentLimit = 512
-	// MaxChangeID bounds the length of a change id in bytes.
+	// MaxChangeID is the maximum length of a change ID in bytes.
 	MaxChangeID = 128
 )
 
-// Identity is the random name of one disk: it is made when a data folder is
-// first used and is lost with it.
+// Identity is the random identifier of one disk. It is created when a data
+// directory is first used and is lost with that directory.
 type Identity string
 
-// Voter is an entry together with the disk that its votes are kept on.
+// Voter is an entry together with the disk that stores its votes.
 type Voter struct {
 	Entry    job.EntryID `cbor:"1,keyasint"`
 	Identity Identity    `cbor:"2,keyasint"`
 }
 
-// Digest identifies the bytes of a file.
+// Digest is the SHA-256 of a file.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a file.
@@ -37,7 +37,7 @@
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Change names one accepted change.
+// Change identifies one change of the configuration.
 type Change struct {
 	ID     string `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
@@ -46,18 +46,18 @@
 
 // Value is one version of the register.
 type Value struct {
-	// Version counts the values from 1; version 0 is the empty register.
+	// Version numbers the values from 1; version 0 is the empty register.
 	Version uint64 `cbor:"1,keyasint"`
 	// Lineage is drawn when the voters first form the register. Messages of
-	// another lineage are ignored, so two fleets that meet by a wrong setting
-	// can't overwrite each other.
+	// another lineage are ignored, so two fleets that are connected by a wrong
+	// setting can't overwrite each other's register.
 	Lineage uint64  `cbor:"2,keyasint"`
 	Voters  []Voter `cbor:"3,keyasint"`
-	// Change and Body are the configuration in force; zero before the first.
+	// Change and Body are the configuration in effect; zero before the first.
 	Change Change `cbor:"4,keyasint"`
 	Body   []byte `cbor:"5,keyasint"`
-	// AcceptedAt is when it was proposed, in Unix milliseconds by the clock of
-	// the proposing entry. It is for display only.
+	// AcceptedAt is the time in Unix milliseconds, by the clock of the proposing
+	// entry, at which the configuration was proposed. It is for display only.
 	AcceptedAt int64 `cbor:"6,keyasint"`
 	// Recent holds the last RecentLimit accepted changes, oldest first.
 	Recent []Change `cbor:"7,keyasint"`
@@ -68,69 +68,71 @@
 
 // The kinds of commands.
 const (
-	// Form names the first voters with their disks.
+	// Form sets the first voters and their disks.
 	Form CommandKind = iota + 1
-	// Configure puts a file in force.
+	// Configure puts a configuration file into effect.
 	Configure
-	// Replace puts one voter in the place of another.
+	// Replace replaces one voter by another.
 	Replace
-	// Read changes nothing and learns the latest value.
+	// Read returns the latest value without changing it.
 	Read
-	// Add makes one more disk a voter.
+	// Add adds one disk to the voters.
 	Add
 )
 
-// Command is a request to make the next value out of the latest one.
+// Command describes how to derive the next value from the latest one.
 type Command struct {
 	Kind   CommandKind `cbor:"1,keyasint"`
 	Change Change      `cbor:"2,keyasint"`
 	Body   []byte      `cbor:"3,keyasint,omitempty"`
 	At     int64       `cbor:"4,keyasint,omitempty"`
-	// Lineage and Voters belong to Form.
+	// Lineage and Voters are used by Form.
 	Lineage uint64  `cbor:"5,keyasint,omitempty"`
 	Voters  []Voter `cbor:"6,keyasint,omitempty"`
-	// Old and New belong to Replace, New also to Add.
+	// Old and New are used by Replace; New also by Add.
 	Old job.EntryID `cbor:"7,keyasint,omitempty"`
 	New Voter       `cbor:"8,keyasint,omitempty"`
-	// Expect, when set, is the only version that the change of voters may
-	// follow: what it mends was judged by that version, and two entries that
-	// mend the same thing must not do it twice.
+	// Expect, if set, is the only version that the membership change may follow.
+	// The need for the change was assessed on that version, and two entries that
+	// repair the same fault must not do so twice.
 	Expect uint64 `cbor:"9,keyasint,omitempty"`
 }
 
-// ChangesVoters reports whether the command makes another set of voters.
+// ChangesVoters reports whether the command is a membership change.
 func (c *Command) ChangesVoters() bool { return c.Kind == Replace || c.Kind == Add }
 
-// OutcomeKind is how a request ended.
+// OutcomeKind is the kind of result of a request.
 type OutcomeKind uint8
 
 // The outcomes.
 const (
-	// Accepted says that the change is chosen and can't be lost while a
-	// majority of the voters' disks lives.
+	// Accepted means that the change is chosen and can't be lost while a
+	// majority of the voters' disks survives.
 	Accepted OutcomeKind = iota + 1
-	// Conflicted says that another change stands; it is named.
+	// Conflicted means that another change won; the outcome names it.
 	Conflicted
-	// Reused says that the change id belongs to a change with other content.
+	// Reused means that the change ID belongs to a change with different content.
 	Reused
-	// NotVoting says that the voter to replace is none.
+	// NotVoting means that the membership change does not apply: the entry to
+	// replace is no voter, the new entry already votes with another disk, or
+	// Expect is not the latest version.
 	NotVoting
-	// Unavailable says that the change was not accepted and never will be by
-	// this request.
+	// Unavailable means that the change was not accepted and that this request
+	// will never lead to its acceptance.
 	Unavailable
-	// Unknown says that the change may have been accepted.
+	// Unknown means that the change may have been accepted.
 	Unknown
 )
 
 // Outcome is the answer to a request.
 type Outcome struct {
 	Kind OutcomeKind `cbor:"1,keyasint"`
-	// Change is the accepted change, or the one that won.
+	// Change is the accepted change or, on a conflict, the change that won.
 	Change Change `cbor:"2,keyasint"`
 }
 
-// Decide says what becomes of a command on the value v: an outcome that needs
-// no new value, or that the command is to be proposed.
+// Decide evaluates a command on the value v. It returns either an outcome that
+// needs no new value, or true if the command must be proposed.
 func (v *Value) Decide(c *Command) (Outcome, bool) {
 	switch c.Kind {
 	case Read:
@@ -158,8 +160,8 @@
 	if c.Change.Number == v.Change.Number && c.Change.Digest == v.Change.Digest {
 		return Outcome{Kind: Accepted, Change: v.Change}, false
 	}
-	// The winner of that very number is named while it is remembered, so that a
-	// loser who asks again after later changes hears the same.
+	// If the change that won this number is still remembered, return it, so that
+	// an operator whose change lost gets the same answer after later changes.
 	for _, known := range v.Recent {
 		if known.Number == c.Change.Number {
 			return Outcome{Kind: Conflicted, Change: known}, false
@@ -201,7 +203,7 @@
 	return Outcome{}, true
 }
 
-// outdated reports whether a change of voters was judged by an earlier version.
+// outdated reports whether a membership change expects a version other than v's.
 func (v *Value) outdated(c *Command) bool { return c.Expect != 0 && c.Expect != v.Version }
 
 func (v *Value) changeByID(id string) (Change, bool) {
@@ -213,8 +215,8 @@
 	return Change{}, false
 }
 
-// Apply returns the value after v that the command makes. All voters compute it
-// on their own, so it depends on nothing else.
+// Apply returns the value that follows v when c is chosen. Each voter computes it
+// independently, so the result must depend on v and c only.
 func (v *Value) Apply(c *Command) Value {
 	next := *v
 	next.Version++
@@ -245,7 +247,7 @@
 	return next
 }
 
-// Votes reports whether the voter is one of v's.
+// Votes reports whether voter is one of v's voters.
 func (v *Value) Votes(voter Voter) bool {
 	for _, known := range v.Voters {
 		if known == voter {
--- a/internal/consensus/value_test.go
+++ b/internal/consensus/value_test.go
@@ -27,8 +27,8 @@
 		propose bool
 	}{
 		"higher number":               {configure("four", 4, "z"), Outcome{}, true},
-		"sent again":                  {configure("three", 3, "y"), Outcome{Accepted, three}, false},
-		"sent again after another":    {configure("one", 1, "x"), Outcome{Accepted, one}, false},
+		"resent":                      {configure("three", 3, "y"), Outcome{Accepted, three}, false},
+		"resent after another":        {configure("one", 1, "x"), Outcome{Accepted, one}, false},
 		"id of another file":          {configure("one", 9, "w"), Outcome{Reused, one}, false},
 		"same file under another id":  {configure("again", 3, "y"), Outcome{Accepted, three}, false},
 		"equal number, other file":    {configure("late", 3, "z"), Outcome{Conflicted, three}, false},
@@ -50,8 +50,8 @@
 	}
 }
 
-// A fleet runs for years. If a value grew with each change, restarts would get
-// slower and records larger until a write no longer finished in time.
+// A fleet runs for years. If a value grew with each change, restarts would become
+// slower and records larger until a write no longer completed in time.
 func TestValueDoesNotGrowWithChanges(t *testing.T) {
 	v := Value{Version: 1}
 	size := func() int {
@@ -74,8 +74,9 @@
 	qt.Assert(t, sizes[20000]-sizes[5000] < 2048, qt.IsTrue)
 }
 
-// A voter's disk stalls for minutes while a proposer sends its message again and
-// again. The held replies must not pile up, nor may any leave before the write.
+// A voter's disk stalls for minutes while a proposer keeps resending its message.
+// The held replies must not accumulate, and none may be sent before the write is
+// complete.
 func TestStalledDiskHoldsEachReplyOnce(t *testing.T) {
 	value := Value{Version: 1, Lineage: 1, Voters: []Voter{{"a", "a#0"}, {"b", "b#0"}, {"c", "c#0"}}}
 	s := Start(Record{Self: value.Voters[0], Chosen: value}, nil, 1)
@@ -90,11 +91,11 @@
 	qt.Assert(t, out.Messages, qt.HasLen, 1)
 	qt.Assert(t, out.Messages[0].Kind, qt.Equals, MsgPromise)
 	_, out = Step(s, Received{prepare})
-	qt.Assert(t, out.Messages, qt.HasLen, 1, qt.Commentf("an answer that rests on nothing new goes at once"))
+	qt.Assert(t, out.Messages, qt.HasLen, 1, qt.Commentf("a reply that depends on no new write is sent at once"))
 }
 
-// Two fleets share a network by a wrong setting. A message of the other one must
-// not be taken for a vote or a value of this one.
+// Two fleets share a network because of a wrong setting. A message of the other
+// fleet must not count as a vote or a value of this one.
 func TestOtherLineageIsIgnored(t *testing.T) {
 	value := Value{Version: 1, Lineage: 1, Voters: []Voter{{"a", "a#0"}}}
 	s := Start(Record{Self: value.Voters[0], Chosen: value}, nil, 1)
@@ -104,8 +105,8 @@
 	qt.Assert(t, out.Messages, qt.HasLen, 0)
 }
 
-// An entry lost its disk and comes back under its old name, with a release that
-// votes all the same. Its vote may contradict one that it has forgotten, so the
+// An entry lost its disk and restarts under its old name, with a release that
+// votes nevertheless. Its vote may contradict an earlier one that it lost, so the
 // proposer must not count it.
 func TestVoteOfAnUnknownDiskIsNotCounted(t *testing.T) {
 	value := Value{Version: 1, Lineage: 1, Voters: []Voter{{"a", "a#0"}, {"b", "b#0"}, {"c", "c#0"}}}
@@ -121,8 +122,8 @@
 	qt.Assert(t, s.Attempt.Phase, qt.Equals, accepting)
 }
 
-// The other half of that rule: an empty disk that has caught up under a known
-// name must not answer as a voter either.
+// The same rule on the voter's side: a new disk that has caught up under a known
+// entry name must not vote.
 func TestUnknownDiskDoesNotVote(t *testing.T) {
 	value := Value{Version: 1, Lineage: 1, Voters: []Voter{{"a", "a#0"}, {"b", "b#0"}, {"c", "c#0"}}}
 	prepare := Message{Kind: MsgPrepare, From: value.Voters[0], To: "b", Version: 2, Ballot: Ballot{Round: 1, Entry: "a", Life: 1}}
@@ -135,9 +136,9 @@
 	}
 }
 
-// An operator replaces a voter by an entry that can't be reached. Were it named
-// at once, the fleet would count on a copy that nobody has: the old voter must
-// stay until the new one holds everything.
+// An operator replaces a voter by an unreachable entry. If that entry became a
+// voter at once, the fleet would rely on a copy that does not exist: the old voter
+// must stay until the new one has caught up.
 func TestReplacementWaitsUntilTheNewVoterHasCaughtUp(t *testing.T) {
 	value := Value{Version: 4, Lineage: 1, Voters: []Voter{{"a", "a#0"}, {"b", "b#0"}, {"c", "c#0"}}}
 	s := Start(Record{Self: value.Voters[0], Chosen: value}, nil, 1)
@@ -154,7 +155,7 @@
 	s, out = Step(s, Retry{})
 	qt.Assert(t, kinds(out), qt.DeepEquals, map[MessageKind]int{MsgLearn: 1})
 	s, out = Step(s, Received{Message{Kind: MsgLearned, From: Voter{"d", "d#1"}, To: "a", Version: 4}})
-	qt.Assert(t, kinds(out)[MsgPrepare], qt.Equals, 0, qt.Commentf("another disk of that name"))
+	qt.Assert(t, kinds(out)[MsgPrepare], qt.Equals, 0, qt.Commentf("another disk of the same entry"))
 	_, out = Step(s, Received{Message{Kind: MsgLearned, From: spare, To: "a", Version: 4}})
 	qt.Assert(t, kinds(out), qt.DeepEquals, map[MessageKind]int{MsgPrepare: 3})
 }
