--- a/internal/storage/bench_test.go
+++ b/internal/storage/bench_test.go
@@ -15,9 +15,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/storage/storagetest"
 )
 
-// BenchmarkAppend measures what `keep: synced` costs a submission of 2 KB on the
-// real disk of the machine, and on one in memory whose sync takes 5 ms, by how
-// many arrive at the same time. Against it stands a map in memory.
+// BenchmarkAppend measures the cost of `keep: synced` for a submission of 2 KB by the
+// number of concurrent callers, on the disk of the machine and on an in-memory file
+// system whose sync takes 5 ms. The baseline is a map in memory.
 func BenchmarkAppend(b *testing.B) {
 	body := make([]byte, 2048)
 	for _, callers := range []int{1, 16, 256} {
@@ -55,9 +55,9 @@
 	}
 }
 
-// measure runs b.N operations by callers that never pause, two records each, and
-// reports the time of one record.
-func measure(b *testing.B, callers int, one func(id string)) {
+// measure runs b.N operations of two records each, by callers that start the next one
+// at once, and reports the time of one record.
+func measure(b *testing.B, callers int, operation func(id string)) {
 	var next atomic.Int64
 	times := make([][]time.Duration, callers)
 	var wg sync.WaitGroup
@@ -66,7 +66,7 @@
 		wg.Go(func() {
 			for i := next.Add(1); i <= int64(b.N); i = next.Add(1) {
 				start := time.Now()
-				one(fmt.Sprint(i))
+				operation(fmt.Sprint(i))
 				times[c] = append(times[c], time.Since(start)/2)
 			}
 		})
--- a/internal/storage/fs.go
+++ b/internal/storage/fs.go
@@ -9,16 +9,16 @@
 	"github.com/juju/errors"
 )
 
-// FS is the part of a file system that the package uses. Tests put one in its
-// place that loses what was not synced.
+// FS is the part of a file system that the package uses. Tests replace it by an
+// implementation that loses unsynced data.
 type FS interface {
-	// MkdirAll makes a directory and its parents, and makes their names last.
+	// MkdirAll creates a directory and its parents, and makes their names durable.
 	MkdirAll(dir string) error
-	// Lock keeps other processes from using dir until it is closed.
+	// Lock locks dir against other processes until the returned Closer is closed.
 	Lock(dir string) (io.Closer, error)
-	// Create makes or truncates a file.
+	// Create creates or truncates a file.
 	Create(name string) (File, error)
-	// Append opens a file for writing at its end and makes it if needed.
+	// Append opens a file for writing at its end and creates it if needed.
 	Append(name string) (File, error)
 	ReadFile(name string) ([]byte, error)
 	Truncate(name string, size int64) error
@@ -26,14 +26,14 @@
 	Remove(name string) error
 	// List returns the names of the files in dir, sorted.
 	List(dir string) ([]string, error)
-	// SyncDir makes the names in dir last.
+	// SyncDir makes the names in dir durable.
 	SyncDir(dir string) error
 }
 
 // File is an open file.
 type File interface {
 	io.Writer
-	// Sync makes the content last.
+	// Sync makes the content durable.
 	Sync() error
 	Close() error
 }
@@ -46,8 +46,8 @@
 	fileMode = 0o640
 )
 
-// MkdirAll makes a directory and its parents. Each new name is synced: a crash
-// that loses the directory loses all that was synced in it.
+// MkdirAll creates a directory and its parents. It syncs each new name: a crash
+// that loses the directory would also lose everything synced in it.
 func (o OS) MkdirAll(dir string) error {
 	if info, err := os.Stat(dir); err == nil && info.IsDir() {
 		return nil
@@ -66,8 +66,8 @@
 
 const lockName = "lock"
 
-// Lock takes an advisory lock, which the operating system gives back when the
-// process ends in any way.
+// Lock takes an advisory lock on a file in dir. The operating system releases it
+// when the process ends, however it ends.
 func (OS) Lock(dir string) (io.Closer, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return f, nil
 }
 
-// Create makes or truncates a file.
+// Create creates or truncates a file.
 func (OS) Create(name string) (File, error) {
 	return os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
 }
@@ -93,7 +93,7 @@
 // ReadFile returns the content of a file.
 func (OS) ReadFile(name string) ([]byte, error) { return os.ReadFile(name) }
 
-// Truncate cuts a file to size and syncs it.
+// Truncate truncates a file to size and syncs it.
 func (OS) Truncate(name string, size int64) error {
 	f, err := os.OpenFile(name, os.O_WRONLY, fileMode)
 	if err != nil {
@@ -106,13 +106,13 @@
 	return f.Sync()
 }
 
-// Rename puts a file in the place of another.
+// Rename renames a file and replaces an existing file of the new name.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
 func (OS) Remove(name string) error { return os.Remove(name) }
 
-// List returns the names in dir.
+// List returns the names of the files in dir, sorted, without directories.
 func (OS) List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/storage/liveset.go
+++ b/internal/storage/liveset.go
@@ -7,7 +7,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// liveSet is what of a log is still needed.
+// liveSet holds the records of a log that are still needed.
 type liveSet struct {
 	byID map[job.ID]*list.Element
 	// order holds *liveEntry, oldest first.
@@ -27,8 +27,8 @@
 	return &liveSet{byID: map[job.ID]*list.Element{}, order: list.New()}
 }
 
-// apply takes one record in. Records of submissions that are not known are
-// ignored: they were forgotten meanwhile.
+// apply applies one record. Except for RecordAccepted and RecordFinished, it
+// ignores records of unknown submissions: these were forgotten in the meantime.
 func (s *liveSet) apply(r Record) {
 	e := s.byID[r.ID]
 	if e == nil {
@@ -53,7 +53,7 @@
 	case RecordFinished:
 		s.finish(e, entry, r)
 	case RecordForgotten:
-		s.drop(e)
+		s.remove(e)
 	}
 }
 
@@ -75,13 +75,13 @@
 func (s *liveSet) dropOldestFinished() {
 	for e := s.order.Front(); e != nil; e = e.Next() {
 		if e.Value.(*liveEntry).finished != nil {
-			s.drop(e)
+			s.remove(e)
 			return
 		}
 	}
 }
 
-func (s *liveSet) drop(e *list.Element) {
+func (s *liveSet) remove(e *list.Element) {
 	entry := e.Value.(*liveEntry)
 	s.order.Remove(e)
 	if entry.finished != nil {
--- a/internal/storage/segment.go
+++ b/internal/storage/segment.go
@@ -13,17 +13,18 @@
 	"github.com/juju/errors"
 )
 
-// A segment file is a row of batches. The first holds all that was needed when
-// the segment was made, so the segment with the highest number is enough and
-// older ones are removed. A batch is what one sync carries:
+// A segment file is a sequence of batches. The first batch holds all records that
+// were needed when the segment was created, so only the segment with the highest
+// number is read and older ones are removed. A batch holds the records that share
+// one sync:
 //
 //	magic "VGB1", 4 bytes
 //	length of the body, 4 bytes
 //	CRC-32C of the length and the body, 4 bytes
 //	body: CBOR list of records
 //
-// A batch has one checksum over all its records, since a crash may keep any part
-// of what was not synced: it counts as a whole or not at all.
+// A batch has one checksum over all its records, since a crash may keep any part of
+// the unsynced data: a batch is valid as a whole or not at all.
 const (
 	batchMagic    = "VGB1"
 	batchHeader   = 12
@@ -66,15 +67,15 @@
 // decodeBatch returns the records of the batch at the start of b and its length.
 func decodeBatch(b []byte) ([]Record, int, error) {
 	if len(b) < batchHeader || string(b[:4]) != batchMagic {
-		return nil, 0, errors.Annotate(ErrCorrupt, "no batch")
+		return nil, 0, errors.Annotate(ErrCorrupt, "no batch header")
 	}
 	n := uint64(binary.LittleEndian.Uint32(b[4:]))
 	if n > uint64(len(b)-batchHeader) {
-		return nil, 0, errors.Annotate(ErrCorrupt, "batch cut short")
+		return nil, 0, errors.Annotate(ErrCorrupt, "truncated batch")
 	}
 	body := b[batchHeader : batchHeader+int(n)]
 	if batchSum(b[4:8], body) != binary.LittleEndian.Uint32(b[8:]) {
-		return nil, 0, errors.Annotate(ErrCorrupt, "batch checksum")
+		return nil, 0, errors.Annotate(ErrCorrupt, "batch checksum mismatch")
 	}
 	var records []Record
 	if err := cbor.Unmarshal(body, &records); err != nil {
@@ -83,9 +84,9 @@
 	return records, batchHeader + int(n), nil
 }
 
-// readSegment returns the batches of a segment. A bad batch with none after it
-// is the torn end of the last write, which nobody was told is kept. One with a
-// good batch after it was synced once, so the disk has changed it.
+// readSegment returns the batches of a segment. An invalid batch with no valid one
+// after it is the torn end of the last write, which was never acknowledged. An
+// invalid batch with a valid one after it was synced, so the disk has corrupted it.
 func readSegment(content []byte) ([][]Record, error) {
 	var batches [][]Record
 	for at := 0; at < len(content); {
@@ -98,8 +99,8 @@
 		if len(batches) == 0 {
 			return nil, errors.Annotate(err, "first batch")
 		}
-		if later := findBatch(content[at+1:]); later >= 0 {
-			return nil, errors.Annotatef(err, "at byte %d, with a good batch after it at byte %d", at, at+1+later)
+		if next := findBatch(content[at+1:]); next >= 0 {
+			return nil, errors.Annotatef(err, "invalid batch at byte %d, before a valid one at byte %d", at, at+1+next)
 		}
 		break
 	}
@@ -109,7 +110,7 @@
 	return batches, nil
 }
 
-// findBatch returns where the first good batch in b starts, or -1.
+// findBatch returns the offset of the first valid batch in b, or -1.
 func findBatch(b []byte) int {
 	for at := 0; ; at++ {
 		i := bytes.Index(b[at:], []byte(batchMagic))
@@ -123,8 +124,8 @@
 	}
 }
 
-// read loads the segment with the highest number.
-func (l *SubmissionLog) read() error {
+// loadSegment reads the segment with the highest number into the live set.
+func (l *SubmissionLog) loadSegment() error {
 	names, err := l.fs.List(l.dir)
 	if err != nil {
 		return errors.Annotatef(err, "listing %s", l.dir)
@@ -144,7 +145,7 @@
 	}
 	batches, err := readSegment(content)
 	if err != nil {
-		return errors.Annotatef(err, "%s", name)
+		return errors.Annotatef(err, "segment %s", name)
 	}
 	for _, records := range batches {
 		for _, r := range records {
@@ -154,10 +155,10 @@
 	return nil
 }
 
-// rebuild starts a new segment with what is needed and removes the older ones.
-// The new one gets its name only when it is synced, so whichever segment has the
-// highest number at a crash is whole.
-func (l *SubmissionLog) rebuild() error {
+// startSegment starts a new segment with the records that are still needed and
+// removes the older ones. The new segment gets its final name only after it is
+// synced, so the segment with the highest number is complete after any crash.
+func (l *SubmissionLog) startSegment() error {
 	l.mu.Lock()
 	records := l.live.records()
 	l.mu.Unlock()
@@ -168,17 +169,18 @@
 	name := filepath.Join(l.dir, segmentName(l.segment+1))
 	f, err := l.createSegment(name, batch)
 	if l.file != nil {
-		// After a failure the new name may have reached the disk all the same,
-		// and then hides the old segment: nothing may be added to that one.
+		// Even after a failure the new name may have reached the disk. The new
+		// segment then supersedes the old one, so the old one must not be
+		// appended to.
 		_ = l.file.Close()
 		l.file = nil
 	}
 	if err != nil {
-		return errors.Annotatef(err, "starting %s", name)
+		return errors.Annotatef(err, "starting segment %s", name)
 	}
 	l.segment++
 	l.file, l.written = f, len(batch)
-	l.removeOld()
+	l.removeOldSegments()
 	return nil
 }
 
@@ -204,9 +206,10 @@
 	return f, nil
 }
 
-// removeOld removes what the present segment replaced. What can't be removed now
-// is removed after a later rebuild; it is never read.
-func (l *SubmissionLog) removeOld() {
+// removeOldSegments removes the segments that the current one replaces, and
+// temporary files. A file that can't be removed now is never read, and is removed
+// when a later segment is started.
+func (l *SubmissionLog) removeOldSegments() {
 	names, err := l.fs.List(l.dir)
 	if err != nil {
 		return
@@ -226,10 +229,10 @@
 		return errors.Trace(err)
 	}
 	if _, err := l.file.Write(batch); err != nil {
-		return errors.Annotate(err, "writing")
+		return errors.Annotate(err, "writing a batch")
 	}
 	if err := l.file.Sync(); err != nil {
-		return errors.Annotate(err, "syncing")
+		return errors.Annotate(err, "syncing a batch")
 	}
 	l.written += len(batch)
 	l.mu.Lock()
--- a/internal/storage/storagetest/fs.go
+++ b/internal/storage/storagetest/fs.go
@@ -1,5 +1,5 @@
-// Package storagetest is a file system in memory, for tests: it forgets at a
-// crash what was not synced, and fails or crashes at a chosen operation.
+// Package storagetest provides an in-memory file system for tests. It loses unsynced
+// data at a crash, and it can fail or crash at a chosen operation.
 package storagetest
 
 import (
@@ -16,26 +16,25 @@
 	"github.com/vanillagrade/vanillagrade/internal/storage"
 )
 
-// ErrCrashed is what every operation returns after the crash.
+// ErrCrashed is the error of every operation after the crash.
 const ErrCrashed = errors.ConstError("storagetest: crashed")
 
-// Keep says what a crash leaves of what was not synced.
+// Keep determines how much unsynced data survives a crash.
 type Keep int
 
-// What a crash may leave. A disk may do any of them.
+// The ways in which a crash may treat unsynced data. A disk may show any of them.
 const (
-	// KeepNone loses all that was not synced.
+	// KeepNone loses all unsynced content and names.
 	KeepNone Keep = iota
-	// KeepAll loses nothing: everything had reached the disk by luck.
+	// KeepAll loses nothing: everything happened to reach the disk.
 	KeepAll
-	// KeepTorn keeps the first half of the content that was not synced, and
-	// the names.
+	// KeepTorn keeps the names and the first half of the unsynced content.
 	KeepTorn
-	// KeepNames keeps the names but none of the content that was not synced.
+	// KeepNames keeps the names but none of the unsynced content.
 	KeepNames
 )
 
-// Keeps are all that a crash may leave.
+// Keeps lists all values of Keep.
 var Keeps = []Keep{KeepNone, KeepAll, KeepTorn, KeepNames}
 
 type node struct {
@@ -43,10 +42,11 @@
 	synced  []byte
 }
 
-// FS is the file system. The zero value is ready to use.
+// FS is an in-memory file system. The zero value is ready to use.
 type FS struct {
 	mu sync.Mutex
-	// names is what a program sees, durable is what a crash leaves.
+	// names holds the files that a program sees, durable those whose names are
+	// synced.
 	names, durable map[string]*node
 	ops            int
 	crashAt        int
@@ -70,28 +70,28 @@
 	}
 }
 
-// FailAt makes the n-th operation from now fail once with an input/output error.
+// FailAt makes the n-th operation from now fail once with an I/O error.
 func (f *FS) FailAt(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failAt = f.ops + n
 }
 
-// Fill makes every write fail for want of space, until undone.
+// Fill(true) makes every write fail with ENOSPC until Fill(false).
 func (f *FS) Fill(full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.full = full
 }
 
-// Slow makes every sync of a file take that long.
+// Slow makes every sync of a file take d.
 func (f *FS) Slow(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.syncTime = d
 }
 
-// Ops returns how many operations there were that write or sync.
+// Ops returns the number of operations so far that modify or sync.
 func (f *FS) Ops() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,14 +105,14 @@
 	return f.syncs
 }
 
-// Crashed reports whether the crash has come.
+// Crashed reports whether the crash has happened.
 func (f *FS) Crashed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashed
 }
 
-// Restart returns the file system as the next start of the process finds it.
+// Restart returns the file system as the process finds it after a crash and restart.
 func (f *FS) Restart(keep Keep) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -138,7 +138,7 @@
 	return next
 }
 
-// Change edits the content of a file as a fault of the disk would.
+// Change edits the synced content of a file, as a faulty disk might.
 func (f *FS) Change(name string, edit func([]byte) []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -166,7 +166,8 @@
 	}
 }
 
-// op counts one operation and decides whether it happens; f.mu is held.
+// op counts one operation and returns an error if it must fail. The caller holds
+// f.mu.
 func (f *FS) op() error {
 	f.init()
 	if f.crashed {
@@ -189,7 +190,7 @@
 // Lock does nothing: each FS belongs to one process.
 func (f *FS) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
-// Create makes or truncates a file.
+// Create creates or truncates a file.
 func (f *FS) Create(name string) (storage.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -231,7 +232,7 @@
 	return slices.Clone(n.content), nil
 }
 
-// Truncate cuts a file and syncs it.
+// Truncate truncates a file and syncs it.
 func (f *FS) Truncate(name string, size int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -244,7 +245,7 @@
 	return nil
 }
 
-// Rename puts a file in the place of another.
+// Rename renames a file and replaces an existing file of the new name.
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -282,7 +283,7 @@
 	return names, nil
 }
 
-// SyncDir makes the names last.
+// SyncDir makes the names in dir durable.
 func (f *FS) SyncDir(dir string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -308,7 +309,8 @@
 	n  *node
 }
 
-// Write appends to the file. A crash in it leaves half of p; a full disk too.
+// Write appends to the file. A write that fails, or during which the crash happens,
+// appends the first half of p.
 func (f *file) Write(p []byte) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
@@ -326,7 +328,7 @@
 	return n, err
 }
 
-// Sync makes the content last.
+// Sync makes the content durable.
 func (f *file) Sync() error {
 	f.fs.mu.Lock()
 	wait := f.fs.syncTime
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 )
 
-// Store holds named records in one directory. Its methods may be called from
-// several goroutines only for different names.
+// Store holds named records in one directory. Concurrent calls are safe only for
+// records of different names.
 type Store struct {
 	dir  string
 	fs   FS
@@ -22,16 +22,16 @@
 	tempSuffix   = ".temp"
 )
 
-// Open makes the directory if needed and removes what an interrupted write left.
-// Until Close no other process can open it: two of them would vote under one
-// identity, each without knowing the other's votes.
+// Open creates the directory if needed and removes the temporary files of
+// interrupted writes. Until Close, no other process can open the directory: two
+// processes would vote under one identity without knowing each other's votes.
 func Open(dir string, fs FS) (*Store, error) {
 	if err := fs.MkdirAll(dir); err != nil {
-		return nil, errors.Annotatef(err, "making %s", dir)
+		return nil, errors.Annotatef(err, "creating %s", dir)
 	}
 	lock, err := fs.Lock(dir)
 	if err != nil {
-		return nil, errors.Annotate(err, "locking")
+		return nil, errors.Annotate(err, "locking the directory")
 	}
 	s := &Store{dir: dir, fs: fs, lock: lock}
 	if err := s.removeTemporary(); err != nil {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// Close lets other processes open the directory.
+// Close releases the lock on the directory, so that other processes can open it.
 func (s *Store) Close() error { return s.lock.Close() }
 
 // Dir returns the directory of the store.
@@ -67,9 +67,9 @@
 // FS returns the file system that the store uses.
 func (s *Store) FS() FS { return s.fs }
 
-// Save replaces the record and returns when it will outlive a crash. After an
-// error either the old or the new content is found; saving again is safe, since
-// each try writes a fresh file.
+// Save replaces the record and returns once it is durable. After an error, the
+// record has either the old or the new content. Saving again is safe, since each
+// attempt writes a new file.
 func (s *Store) Save(name string, version uint32, body []byte) error {
 	if len(body) > maxRecordSize {
 		return errors.Errorf("record %s of %d bytes is too large", name, len(body))
@@ -82,7 +82,7 @@
 	if err := s.fs.Rename(temp, final); err != nil {
 		return errors.Annotatef(err, "renaming %s", temp)
 	}
-	// Until the directory is synced a crash may bring back the old name.
+	// Until the directory is synced, a crash may bring back the old record.
 	return errors.Annotatef(s.fs.SyncDir(s.dir), "syncing %s", s.dir)
 }
 
@@ -101,8 +101,8 @@
 	return err
 }
 
-// Load returns the record and its format version. A record that was never saved
-// gives errors.NotFound; one that fails its check gives ErrCorrupt.
+// Load returns the record's format version and body. The error is errors.NotFound
+// for a record that was never saved, and ErrCorrupt for one that fails verification.
 func (s *Store) Load(name string) (uint32, []byte, error) {
 	b, err := s.fs.ReadFile(filepath.Join(s.dir, name+recordSuffix))
 	if os.IsNotExist(err) {
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -15,9 +15,9 @@
 
 const dir = "data"
 
-// The process is killed, or the VM loses power, at any operation of a save. If
-// the record were torn, or an acknowledged save lost, a voter would forget a
-// vote and an accepted configuration could be undone.
+// The process is killed, or the VM loses power, at any operation of a save. If the
+// record were torn, or an acknowledged save were lost, a voter would lose a vote and
+// an accepted configuration could be undone.
 func TestSaveSurvivesACrashAtEveryOperation(t *testing.T) {
 	old, updated := bytes.Repeat([]byte("old"), 100), bytes.Repeat([]byte("new!"), 100)
 	for _, keep := range storagetest.Keeps {
@@ -39,15 +39,15 @@
 			}
 			qt.Assert(t, again.Save("r", 1, updated), qt.IsNil)
 			if !fs.Crashed() {
-				qt.Assert(t, at, qt.Equals, 6, qt.Commentf("create, write, sync, rename and directory sync were tried"))
+				qt.Assert(t, at, qt.Equals, 6, qt.Commentf("a save has five operations: create, write, sync, rename and directory sync"))
 				break
 			}
 		}
 	}
 }
 
-// A disk returns an error once, or is full for a while. The save must fail and
-// the record keep its old or its new content; saving again must then succeed.
+// A disk returns an error once, or is full for a while. The save must fail and leave
+// the record with its old or its new content; saving again must then succeed.
 func TestSaveReportsErrorsAndCanBeRepeated(t *testing.T) {
 	for at := 1; at <= 5; at++ {
 		fs := &storagetest.FS{}
@@ -68,8 +68,8 @@
 	}
 }
 
-// A disk flips a bit, loses the end of a file or hands back zeros. If the record
-// passed its check all the same, a voter would vote by a state that never was.
+// A disk flips a bit, loses the end of a file or returns zeros. If the record still
+// passed verification, a voter would vote from a state that never existed.
 func TestLoadRefusesWhatWasNotWritten(t *testing.T) {
 	fs := &storagetest.FS{}
 	s, err := storage.Open(dir, fs)
@@ -124,8 +124,8 @@
 	qt.Assert(t, s.Close(), qt.IsNil)
 }
 
-// An operator starts an entry a second time on the data folder of one that runs.
-// Both would vote under one identity, each blind to the other's votes.
+// An operator starts an entry on the data directory of a running one. Both would
+// vote under one identity, each without knowing the other's votes.
 func TestFolderIsOpenedOnce(t *testing.T) {
 	d := t.TempDir() + "/a/b"
 	first, err := storage.Open(d, storage.OS{})
@@ -138,8 +138,8 @@
 	qt.Assert(t, second.Close(), qt.IsNil)
 }
 
-// A record file is whatever a broken disk returns: loading must not panic, and
-// what loads must save to the very same bytes.
+// A record file contains whatever a faulty disk returns. Loading must not panic, and
+// a record that loads must save to the same bytes.
 func FuzzLoad(f *testing.F) {
 	fs := &storagetest.FS{}
 	s, err := storage.Open(dir, fs)
--- a/internal/storage/submissions.go
+++ b/internal/storage/submissions.go
@@ -9,34 +9,34 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Errors of SubmissionLog.Append. Their difference decides what a caller may be
-// told.
+// Errors of SubmissionLog.Append. They differ in what may be reported to the
+// caller of a submission.
 const (
-	// ErrNotKept says that the record is certainly not in the log and will not
-	// come back after a crash.
-	ErrNotKept = errors.ConstError("storage: not kept")
-	// ErrUncertain says that the record may come back after a crash.
-	ErrUncertain = errors.ConstError("storage: may be kept")
+	// ErrNotKept means that the record is definitely not in the log and will not
+	// reappear after a crash.
+	ErrNotKept = errors.ConstError("storage: record not kept")
+	// ErrUncertain means that the record may reappear after a crash.
+	ErrUncertain = errors.ConstError("storage: record may be kept")
 )
 
-// RecordKind is the type of a Record. Numbers are on the disk.
+// RecordKind is the type of a Record. Its numbers are stored on disk.
 type RecordKind uint8
 
 // The kinds of records.
 const (
 	// RecordAccepted holds the whole submission.
 	RecordAccepted RecordKind = 1
-	// RecordHanded names tasks that are about to be handed to targets. It must
-	// be in the log before any of them is: after a crash only tasks that were
-	// never named may start.
+	// RecordHanded names tasks that are about to be sent to targets. It must be in
+	// the log before any of them is sent: after a crash, only tasks that no record
+	// names may start.
 	RecordHanded RecordKind = 2
-	// RecordFinished holds the answer; it is kept for the caller's return.
+	// RecordFinished holds the answer. It is kept until the caller asks for it.
 	RecordFinished RecordKind = 3
-	// RecordForgotten says that nobody will ask for the answer any more.
+	// RecordForgotten means that the answer will not be requested any more.
 	RecordForgotten RecordKind = 4
 )
 
-// Record is one step of a submission that must outlive a crash.
+// Record is one durable step of a submission.
 type Record struct {
 	Kind  RecordKind `cbor:"1,keyasint"`
 	ID    job.ID     `cbor:"2,keyasint"`
@@ -47,34 +47,34 @@
 func (r *Record) size() int { return len(r.Body) + len(r.ID) + 8*len(r.Tasks) + recordOverhead }
 
 const (
-	// recordOverhead is about what a record takes besides its content.
+	// recordOverhead is the approximate encoding overhead of a record in bytes.
 	recordOverhead = 16
-	// batchBytes bounds how much one sync carries, so that nobody waits for a
-	// write of unbounded length.
+	// batchBytes bounds the size of a batch, so that no caller waits for a write
+	// of unbounded length.
 	batchBytes = 8 << 20
-	// compactAbove is the size below which a segment is never rewritten; above
-	// it is as soon as less than half of it is still needed.
+	// compactAbove is the size in bytes up to which a segment is never compacted.
+	// A larger one is compacted once less than half of it is still needed.
 	compactAbove = 4 << 20
 	// maxFinished and maxFinishedBytes bound the answers that are kept. The
-	// oldest goes first: its caller has had the longest time to come back.
+	// oldest is dropped first: its caller has had the most time to ask for it.
 	maxFinished      = 8192
 	maxFinishedBytes = 16 << 20
 )
 
-// SubmissionLog keeps submissions on disk from their acceptance until nobody
-// asks for their answer. Records that wait at the same time share one sync
-// (group commit): a sync takes milliseconds, whatever it carries.
+// SubmissionLog stores submissions on disk from their acceptance until their answer
+// is no longer needed. Records that wait at the same time share one sync (group
+// commit), since a sync takes milliseconds regardless of its size.
 type SubmissionLog struct {
 	dir string
 	fs  FS
 
 	mu      sync.Mutex
 	live    *liveSet
-	waiting []*appending
+	waiting []*pendingAppend
 	closed  bool
 	stats   LogStats
 
-	// The fields below belong to the committing goroutine.
+	// The fields below are used only by the committing goroutine.
 	segment uint64
 	file    File
 	written int
@@ -84,42 +84,44 @@
 	done chan struct{}
 }
 
-// LogStats counts what a log did.
+// LogStats holds counters and sizes of a SubmissionLog.
 type LogStats struct {
 	Records, Batches, Compactions, Failures int
-	// Bytes is the size of the segment in use, Live what of it is needed.
+	// Bytes is the size of the current segment, Live the size of the records in
+	// it that are still needed.
 	Bytes, Live int
 }
 
-type appending struct {
+type pendingAppend struct {
 	record Record
 	done   chan error
 }
 
-// OpenSubmissionLog reads the log in dir and starts a new segment with what of
-// it is still needed. A torn end, as a crash in the middle of a write leaves it,
-// is cut off: nobody was told that it was kept. Any other fault is ErrCorrupt.
+// OpenSubmissionLog reads the log in dir and starts a new segment with the records
+// that are still needed. It drops the torn end that a crash during a write leaves,
+// since that write was never acknowledged. Any other damage is ErrCorrupt.
 func OpenSubmissionLog(dir string, fs FS) (*SubmissionLog, error) {
 	if err := fs.MkdirAll(dir); err != nil {
-		return nil, errors.Annotatef(err, "making %s", dir)
+		return nil, errors.Annotatef(err, "creating %s", dir)
 	}
 	l := &SubmissionLog{
 		dir: dir, fs: fs, live: newLiveSet(),
 		wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}),
 	}
-	if err := l.read(); err != nil {
+	if err := l.loadSegment(); err != nil {
 		return nil, errors.Trace(err)
 	}
-	if err := l.rebuild(); err != nil {
+	if err := l.startSegment(); err != nil {
 		return nil, errors.Trace(err)
 	}
 	go l.commitLoop()
 	return l, nil
 }
 
-// Replay returns what is kept, in the order of acceptance: for an unfinished
-// submission its RecordAccepted and, if tasks were handed out, one RecordHanded
-// with all of them; for a finished one its RecordFinished.
+// Replay returns the records that are kept, unfinished submissions in order of
+// acceptance and finished ones in order of finishing: for an unfinished submission
+// its RecordAccepted and, if tasks were sent to targets, one RecordHanded with all
+// of them; for a finished one its RecordFinished.
 func (l *SubmissionLog) Replay() []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,10 +137,10 @@
 	return s
 }
 
-// Append returns nil once the record outlives a crash. Its error is or wraps
-// ErrNotKept or ErrUncertain.
+// Append appends a record and returns nil once the record is durable. Its error is
+// or wraps ErrNotKept or ErrUncertain.
 func (l *SubmissionLog) Append(ctx context.Context, r Record) error {
-	a := &appending{record: r, done: make(chan error, 1)}
+	a := &pendingAppend{record: r, done: make(chan error, 1)}
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
@@ -158,13 +160,13 @@
 	}
 }
 
-// Close commits what waits and closes the log.
+// Close commits the waiting records and closes the log.
 func (l *SubmissionLog) Close() error {
 	l.mu.Lock()
-	already := l.closed
+	wasClosed := l.closed
 	l.closed = true
 	l.mu.Unlock()
-	if already {
+	if wasClosed {
 		return nil
 	}
 	close(l.stop)
@@ -175,7 +177,7 @@
 	return errors.Trace(l.file.Close())
 }
 
-// commitLoop writes batches until the log is closed and empty.
+// commitLoop writes batches until the log is closed and no record waits.
 func (l *SubmissionLog) commitLoop() {
 	defer close(l.done)
 	for open := true; open; {
@@ -184,14 +186,14 @@
 		case <-l.stop:
 			open = false
 		}
-		for batch := l.take(); len(batch) > 0; batch = l.take() {
+		for batch := l.takeBatch(); len(batch) > 0; batch = l.takeBatch() {
 			l.commit(batch)
 		}
 	}
 }
 
-// take returns the waiting records that one sync carries.
-func (l *SubmissionLog) take() []*appending {
+// takeBatch removes and returns the waiting records for the next batch.
+func (l *SubmissionLog) takeBatch() []*pendingAppend {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n, size := 0, 0
@@ -204,7 +206,7 @@
 	return batch
 }
 
-func (l *SubmissionLog) commit(batch []*appending) {
+func (l *SubmissionLog) commit(batch []*pendingAppend) {
 	records := make([]Record, len(batch))
 	for i, a := range batch {
 		records[i] = a.record
@@ -220,12 +222,12 @@
 
 func (l *SubmissionLog) write(records []Record) error {
 	if l.file == nil {
-		if err := l.rebuild(); err != nil {
+		if err := l.startSegment(); err != nil {
 			return errors.Annotatef(ErrNotKept, "%v", err)
 		}
 	}
 	if err := l.writeBatch(records); err != nil {
-		return l.recover(err)
+		return l.handleWriteFailure(err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -237,21 +239,21 @@
 	return nil
 }
 
-// recover follows a failed write. What reached the disk of it is not known, so
-// the log goes on in a fresh segment that does not have it; only when that one
-// is synced can the records be called not kept.
-func (l *SubmissionLog) recover(cause error) error {
+// handleWriteFailure continues after a failed write. It is unknown how much of the
+// write reached the disk, so the log continues in a new segment without it. Only
+// once that segment is synced are the records definitely not kept.
+func (l *SubmissionLog) handleWriteFailure(cause error) error {
 	l.mu.Lock()
 	l.stats.Failures++
 	l.mu.Unlock()
-	if err := l.rebuild(); err != nil {
+	if err := l.startSegment(); err != nil {
 		return errors.Annotatef(ErrUncertain, "%v; then %v", cause, err)
 	}
 	return errors.Annotatef(ErrNotKept, "%v", cause)
 }
 
-// compact rewrites the segment when less than half of it is needed. After a
-// failure the next write tries again.
+// compact rewrites the segment when less than half of it is still needed. After a
+// failure, the next write retries.
 func (l *SubmissionLog) compact() {
 	l.mu.Lock()
 	due := l.written > compactAbove && 2*l.live.bytes < l.written
@@ -259,7 +261,7 @@
 	if !due {
 		return
 	}
-	if err := l.rebuild(); err == nil {
+	if err := l.startSegment(); err == nil {
 		l.mu.Lock()
 		l.stats.Compactions++
 		l.mu.Unlock()
--- a/internal/storage/submissions_test.go
+++ b/internal/storage/submissions_test.go
@@ -20,8 +20,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/storage/storagetest"
 )
 
-// TestMain fixes the seed of the random runs, so that each run of the tests has
-// the same verdict; -rapid.seed gives another.
+// TestMain fixes the seed of the random runs, so that each run of the tests has the
+// same result; -rapid.seed sets another seed.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
@@ -74,10 +74,10 @@
 	qt.Assert(t, fs.Names(), qt.HasLen, 1)
 }
 
-// The process is killed, the VM loses power or the disk fails once, at any
-// operation. A submission that was acknowledged as kept must come back, and one
+// The process is killed, the VM loses power or the disk fails once, at any operation.
+// A submission that was acknowledged as kept must reappear after the restart. One
 // that was refused as not kept must not: it would run although its caller was
-// told that it did not.
+// informed that it would not.
 func TestLogSurvivesACrashOrErrorAtEveryOperation(t *testing.T) {
 	for _, keep := range storagetest.Keeps {
 		for _, fail := range []bool{false, true} {
@@ -91,33 +91,33 @@
 					fs.CrashAt(at)
 				}
 				before := fs.Ops()
-				verdict := map[string]error{}
+				results := map[string]error{}
 				for i := range 6 {
 					id := fmt.Sprint(i)
-					verdict[id] = l.Append(context.Background(), accepted(id, "body of "+id))
+					results[id] = l.Append(context.Background(), accepted(id, "body of "+id))
 				}
 				used := fs.Ops() - before
 				_ = l.Close()
 				again := openLog(t, fs.Restart(keep))
-				back := map[string]bool{}
+				replayed := map[string]bool{}
 				for _, r := range again.Replay() {
-					back[string(r.ID)] = true
+					replayed[string(r.ID)] = true
 				}
 				qt.Assert(t, again.Close(), qt.IsNil)
-				note := qt.Commentf("keep %d, operation %d, fail %v: %v, back %v", keep, at, fail, verdict, back)
-				qt.Assert(t, back["first"], qt.IsTrue, note)
-				for id, err := range verdict {
+				comment := qt.Commentf("keep %d, operation %d, fail %v: results %v, replayed %v", keep, at, fail, results, replayed)
+				qt.Assert(t, replayed["first"], qt.IsTrue, comment)
+				for id, err := range results {
 					switch {
 					case err == nil:
-						qt.Assert(t, back[id], qt.IsTrue, note)
+						qt.Assert(t, replayed[id], qt.IsTrue, comment)
 					case errors.Is(err, storage.ErrNotKept):
-						qt.Assert(t, back[id], qt.IsFalse, note)
+						qt.Assert(t, replayed[id], qt.IsFalse, comment)
 					default:
-						qt.Assert(t, errors.Is(err, storage.ErrUncertain), qt.IsTrue, note)
+						qt.Assert(t, errors.Is(err, storage.ErrUncertain), qt.IsTrue, comment)
 					}
 				}
 				if used < at {
-					qt.Assert(t, at > 12, qt.IsTrue, note)
+					qt.Assert(t, at > 12, qt.IsTrue, comment)
 					break
 				}
 			}
@@ -125,8 +125,8 @@
 	}
 }
 
-// The disk is full for a while. Nothing may be acknowledged meanwhile, and the
-// log must go on by itself afterwards without losing what it had.
+// The disk is full for a while. Nothing may be acknowledged during that time, and the
+// log must continue by itself afterwards without losing earlier records.
 func TestLogOnAFullDisk(t *testing.T) {
 	fs := &storagetest.FS{}
 	l := openLog(t, fs)
@@ -143,9 +143,9 @@
 	qt.Assert(t, l.Close(), qt.IsNil)
 }
 
-// A disk changes a bit of something that was synced long ago. Leaving the rest
-// of the log out would silently lose accepted submissions, so the log must
-// refuse to open and name the file.
+// A disk flips a bit in a batch that was synced long ago. Ignoring the rest of the
+// log would silently lose accepted submissions, so opening the log must fail with an
+// error that names the file.
 func TestLogRefusesAChangedBatch(t *testing.T) {
 	fs := &storagetest.FS{}
 	l := openLog(t, fs)
@@ -167,8 +167,8 @@
 	}
 }
 
-// A burst of submissions that must be kept arrives at once. With one sync for
-// each the last would wait 200 times a disk's sync; shared, they wait for two.
+// A burst of 200 submissions that must be kept arrives at once. With one sync for
+// each, the last would wait for 200 syncs; with shared syncs it waits for two.
 func TestWaitingRecordsShareASync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fs := &storagetest.FS{}
@@ -189,7 +189,7 @@
 	})
 }
 
-// A log that only grew would fill the small disk of its VM within hours.
+// A log that was never compacted would fill the small disk of its VM within hours.
 func TestLogStaysBounded(t *testing.T) {
 	fs := &storagetest.FS{}
 	l := openLog(t, fs)
@@ -208,8 +208,8 @@
 	qt.Assert(t, fs.Names(), qt.HasLen, 1)
 }
 
-// Many random histories with crashes: what was acknowledged last for each
-// submission must be what a simple map says.
+// Random histories with crashes: the last acknowledged step of each submission must
+// match a model that is a simple map.
 func TestLogAgainstAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fs := &storagetest.FS{}
@@ -252,8 +252,8 @@
 	})
 }
 
-// A segment is whatever a broken disk returns: opening must not panic, and what
-// opens must open again to the same.
+// A segment contains whatever a faulty disk returns. Opening must not panic, and a
+// log that opens must replay the same records when it is opened again.
 func FuzzOpenSubmissionLog(f *testing.F) {
 	fs := &storagetest.FS{}
 	l := openLog(f, fs)
