--- a/internal/consensus/value.go
+++ b/internal/consensus/value.go
@@ -12,7 +12,7 @@
 	// RecentLimit is the number of accepted changes that a value remembers, so
 	// that a resent change gets its original outcome. At 2,900 changes a day it
 	// covers four hours, far longer than an operator's tool keeps resending, and
-	// it keeps the value under 50 KB plus the file.
+	// it keeps the value, apart from the file, under 50 KB.
 	RecentLimit = 512
 	// MaxChangeID is the maximum length of a change ID in bytes.
 	MaxChangeID = 128
--- a/internal/storage/submissions.go
+++ b/internal/storage/submissions.go
@@ -30,7 +30,7 @@
 	// the log before any of them is sent: after a crash, only tasks that no record
 	// names may start.
 	RecordHanded RecordKind = 2
-	// RecordFinished holds the answer. It is kept until the caller asks for it.
+	// RecordFinished holds the answer. It is kept for a caller that asks for it later.
 	RecordFinished RecordKind = 3
 	// RecordForgotten means that the answer will not be requested any more.
 	RecordForgotten RecordKind = 4
