--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -1,28 +1,29 @@
-// Package explore visits every state that a small model can reach and checks an
-// invariant in each. The models run the real step functions of the protocols, so
-// what is checked is the code that runs, and not a copy of it.
+// Package explore is an explicit-state model checker. It visits every state that a
+// small model can reach and checks an invariant in each. The models run the real
+// step functions of the protocols, so the checked code is the code in use and not
+// a copy.
 //
-// Random tests find what goes wrong often. The faults that undo an accepted
-// configuration need several unlikely things in one exact order; within small
-// bounds all orders are tried.
+// Random tests find frequent faults. The faults that undo an accepted configuration
+// need several unlikely events in one exact order; within small bounds, the
+// exploration tries all orders.
 package explore
 
 import "fmt"
 
-// Key identifies a state: a 64-bit hash of all of it. Two states that share one
-// by chance would be taken for one; at ten million states the chance that any
-// two do is about one in 400,000.
+// Key identifies a state by a 64-bit hash of its whole content. Two states whose
+// hashes collide are treated as one; at ten million states the probability of any
+// collision is about one in 400,000.
 type Key uint64
 
 // Model is a system to explore.
 type Model[S any] interface {
 	// Initial returns the states to start from.
 	Initial() []S
-	// Key identifies a state.
+	// Key returns the key of a state.
 	Key(S) Key
-	// Next calls visit with each state that one action leads to.
+	// Next calls visit with each state that is one action away from s.
 	Next(s S, visit func(action string, next S))
-	// Check returns what is wrong with a state.
+	// Check returns an error if the state violates the invariant.
 	Check(S) error
 }
 
@@ -31,14 +32,15 @@
 	States      int
 	Transitions int
 	Depth       int
-	// Complete is false if the limit of states was met.
+	// Complete is true if all reachable states were visited, without a violation.
 	Complete bool
-	// Violation is what Check returned first; Trace the actions that led there.
+	// Violation is the first error that Check returned; Trace lists the actions
+	// that led to it.
 	Violation error
 	Trace     []string
 }
 
-// String returns the report in one line, and the trace below it.
+// String returns a one-line summary, followed by the trace of a violation.
 func (r Report) String() string {
 	s := fmt.Sprintf("%d states, %d transitions, depth %d", r.States, r.Transitions, r.Depth)
 	if !r.Complete {
@@ -53,19 +55,19 @@
 	return s
 }
 
-// origin is how a state was first reached.
+// origin is the state and the action from which a state was first reached.
 type origin struct {
 	from   Key
 	action string
 }
 
-// Run explores m breadth first, so that a trace is a shortest one. It stops at
-// the first violation or after limit states.
+// Run explores m breadth first, so that a trace has the fewest possible actions.
+// It stops at the first violation or after limit states.
 func Run[S any](m Model[S], limit int) Report {
 	seen := map[Key]origin{}
 	var level, next []S
 	r := Report{}
-	var bad Key
+	var violating Key
 	add := func(s S, from Key, action string) bool {
 		k := m.Key(s)
 		if _, ok := seen[k]; ok {
@@ -74,7 +76,7 @@
 		seen[k] = origin{from: from, action: action}
 		r.States++
 		if err := m.Check(s); err != nil {
-			r.Violation, bad = err, k
+			r.Violation, violating = err, k
 			return false
 		}
 		next = append(next, s)
@@ -87,16 +89,16 @@
 		level, next = next, nil
 		r.Depth++
 		for _, s := range level {
-			k, more := m.Key(s), true
+			k, proceed := m.Key(s), true
 			m.Next(s, func(action string, n S) {
-				if !more {
+				if !proceed {
 					return
 				}
 				r.Transitions++
-				more = add(n, k, action)
+				proceed = add(n, k, action)
 			})
-			if !more {
-				r.Trace = trace(seen, bad)
+			if !proceed {
+				r.Trace = trace(seen, violating)
 				return r
 			}
 		}
--- a/internal/explore/race_on_test.go
+++ b/internal/explore/race_on_test.go
@@ -2,5 +2,6 @@
 
 package explore
 
-// raceDetector says that the tests run about ten times slower.
+// raceDetector is set in builds with the race detector, in which the tests run
+// about ten times slower.
 const raceDetector = true
--- a/internal/explore/voters.go
+++ b/internal/explore/voters.go
@@ -12,61 +12,64 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// MaxNodes bounds the nodes of a Voters model.
+// MaxNodes is the maximum number of nodes in a Voters model.
 const MaxNodes = 6
 
-// Operator submits one command to one of the nodes, once for each entry of At.
+// Operator submits one command once for each element of At, which lists the nodes
+// by index.
 type Operator struct {
 	Command consensus.Command
 	At      []int
-	// GivesUp lets the operator abandon a submission at any moment.
+	// GivesUp lets the operator abandon a submission at any time.
 	GivesUp bool
 }
 
-// Voters is a model of the nodes of package consensus with a network that loses,
-// repeats and reorders messages, and with disks.
+// Voters is a model of the nodes of package consensus, with their disks and a
+// network that loses, duplicates and reorders messages.
 //
-// The network is the set of all messages ever sent: any of them may arrive at
-// any time, any number of times, or never. A write may complete at any time
-// after it was issued; a crash keeps it or loses it.
+// The network is the set of all messages ever sent: each may arrive at any time,
+// any number of times, or never. A write may complete at any time after it was
+// issued; a crash keeps or loses a pending write.
 type Voters struct {
 	// Names are the entries; the first Genesis of them form the register.
 	Names   []job.EntryID
 	Genesis int
-	// Formed starts from a formed register; otherwise from empty disks.
+	// Formed makes the model start from a formed register instead of empty disks.
 	Formed bool
-	// Number is that of the configuration in force at the start.
+	// Number is the number of the configuration in effect at the start.
 	Number    uint64
 	Operators []Operator
-	// Bounds of the exploration.
+	// Crashes, Losses and MaxRound bound the exploration: the number of node
+	// crashes, the number of lost disks and the highest ballot round.
 	Crashes, Losses int
 	MaxRound        uint64
-	// Blackouts is how often all nodes lose power at once, and Wiped how many disks
-	// are lost in one at the most.
+	// Blackouts is how often all nodes lose power at once, and Wiped the maximum
+	// number of disks lost each time.
 	Blackouts, Wiped int
-	// EndsDark ends each course with the last loss of power: what is left is only
-	// asked whether it resumes.
+	// EndsDark ends each run at the last power loss: the remaining nodes are only
+	// checked for recovery.
 	EndsDark bool
-	// SyncAtOnce completes each write in the step that issued it. It leaves out
-	// the crashes between the two.
+	// SyncAtOnce completes each write in the step that issued it, which leaves out
+	// the crashes between issue and completion.
 	SyncAtOnce bool
 
-	// The hooks seed a fault into the protocol. Nil means none.
-	// OnStep may change the input and the outcome of a step.
+	// The hooks inject a fault into the protocol; nil injects none.
+	// OnStep may change the input and the result of a step.
 	OnStep func(step Stepper, s consensus.State, in consensus.Input) (consensus.State, consensus.Output)
-	// OnRestart may change the record that a restart finds, given the state
-	// before it; lost is set if the disk was lost.
+	// OnRestart may change the record that a node restarts from, given its state
+	// before the restart; lost is set if its disk was lost.
 	OnRestart func(found consensus.Record, before consensus.State, lost bool) consensus.Record
-	// EarlySend lets messages leave before the write that they rest on.
+	// EarlySend sends messages before the write that they depend on is complete.
 	EarlySend bool
-	// OneLife makes all starts of a node use the same ballots.
+	// OneLife gives all incarnations of a node the same number, so that a restart
+	// reuses earlier ballots.
 	OneLife bool
 
-	nodes     interner[nodeState]
-	messages  interner[consensus.Message]
-	histories interner[history]
-	memo      map[memoKey]effect
-	spentMemo map[uint64]bool
+	nodes        interner[nodeState]
+	messages     interner[consensus.Message]
+	histories    interner[history]
+	memo         map[memoKey]effect
+	obsoleteMemo map[uint64]bool
 }
 
 // Stepper is the step function of package consensus.
@@ -74,17 +77,17 @@
 
 // nodeState is one node with its disk.
 type nodeState struct {
-	State   consensus.State
-	Disk    consensus.Record
-	Pending []consensus.Write
-	Life    uint64
-	Disks   int
+	State       consensus.State
+	Disk        consensus.Record
+	Pending     []consensus.Write
+	Incarnation uint64
+	Disks       int
 }
 
-// history is what an observer outside knows: all chosen values and all answers.
+// history is the knowledge of an outside observer: all chosen values and answers.
 type history struct {
 	Chosen  []consensus.Value
-	Answers []told
+	Answers []answerRecord
 	// Submitted counts the submissions of each operator.
 	Submitted [maxOperators]uint8
 	Wrong     string
@@ -92,10 +95,10 @@
 
 const maxOperators = 4
 
-type told struct {
+type answerRecord struct {
 	Operator int
 	Outcome  consensus.Outcome
-	// Submitted is how often the operator had submitted by then.
+	// Submitted is how often the operator had submitted before the answer.
 	Submitted uint8
 }
 
@@ -106,8 +109,8 @@
 	history uint32
 	crashes uint8
 	losses  uint8
-	// blackouts is how often all have lost power.
-	blackouts uint8
+	// powerLosses is how often all nodes have lost power.
+	powerLosses uint8
 }
 
 type memoKey struct {
@@ -115,16 +118,16 @@
 	input uint64
 }
 
-// effect is what one input does to one node.
+// effect is the result of one input at one node.
 type effect struct {
-	node    uint32
-	sent    []uint16
-	answers []consensus.Answer
-	chosen  *consensus.Value
-	back    bool
+	node     uint32
+	sent     []uint16
+	answers  []consensus.Answer
+	chosen   *consensus.Value
+	wentBack bool
 }
 
-// Input numbers above the message numbers stand for the other inputs.
+// Numbers above the message numbers identify the other inputs.
 const (
 	inputSync = 1<<32 + iota
 	inputRetry
@@ -135,10 +138,10 @@
 	inputAbandon = 1 << 34
 )
 
-// interner numbers equal things equally.
+// interner assigns a number to each distinct value; equal values get the same one.
 type interner[T any] struct {
 	numbers map[string]uint32
-	things  []T
+	values  []T
 }
 
 func (i *interner[T]) number(v T) uint32 {
@@ -153,15 +156,15 @@
 	if i.numbers == nil {
 		i.numbers = map[string]uint32{}
 	}
-	n = uint32(len(i.things))
+	n = uint32(len(i.values))
 	i.numbers[string(b)] = n
-	i.things = append(i.things, v)
+	i.values = append(i.values, v)
 	return n
 }
 
-// Initial returns the one state at the start.
+// Initial returns the single initial state.
 func (m *Voters) Initial() []World {
-	m.memo, m.spentMemo = map[memoKey]effect{}, map[uint64]bool{}
+	m.memo, m.obsoleteMemo = map[memoKey]effect{}, map[uint64]bool{}
 	genesis := m.Names[:m.Genesis]
 	value := consensus.Value{}
 	var h history
@@ -178,7 +181,7 @@
 		if i < m.Genesis {
 			r.Chosen = value
 		}
-		n := nodeState{State: consensus.Start(r, genesis, m.lifeOf(i, 0)), Disk: r}
+		n := nodeState{State: consensus.Start(r, genesis, m.incarnationOf(i, 0)), Disk: r}
 		w.nodes[i] = m.nodes.number(n)
 	}
 	return []World{w}
@@ -188,19 +191,19 @@
 	return consensus.Identity(fmt.Sprintf("%s#%d", name, n))
 }
 
-func (m *Voters) lifeOf(node int, life uint64) uint64 {
+func (m *Voters) incarnationOf(node int, incarnation uint64) uint64 {
 	if m.OneLife {
-		life = 0
+		incarnation = 0
 	}
-	return uint64(node+1)*100 + life
+	return uint64(node+1)*100 + incarnation
 }
 
-// Outcomes returns each answer that some state gave, as "operator: kind", so
-// that a test can tell that its bounds let the interesting ones happen.
+// Outcomes returns each answer given in any visited state, as "operator: kind". A
+// test uses it to check that its bounds allow the outcomes of interest.
 func (m *Voters) Outcomes() map[string]bool {
 	seen := map[string]bool{}
-	for i := range m.histories.things {
-		for _, a := range m.histories.things[i].Answers {
+	for i := range m.histories.values {
+		for _, a := range m.histories.values[i].Answers {
 			seen[fmt.Sprintf("%d: %s", a.Operator, outcomeNames[a.Outcome.Kind])] = true
 		}
 	}
@@ -212,14 +215,14 @@
 	consensus.NotVoting: "not voting", consensus.Unavailable: "unavailable", consensus.Unknown: "unknown",
 }
 
-// Key identifies a state.
+// Key returns the key of a state.
 func (m *Voters) Key(w World) Key {
 	var b [4*MaxNodes + 7]byte
 	for i, n := range w.nodes {
 		binary.LittleEndian.PutUint32(b[4*i:], n)
 	}
 	binary.LittleEndian.PutUint32(b[4*MaxNodes:], w.history)
-	b[4*MaxNodes+4], b[4*MaxNodes+5], b[4*MaxNodes+6] = w.crashes, w.losses, w.blackouts
+	b[4*MaxNodes+4], b[4*MaxNodes+5], b[4*MaxNodes+6] = w.crashes, w.losses, w.powerLosses
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.Write(b[:])
@@ -227,54 +230,54 @@
 	return Key(d.Sum64())
 }
 
-// Check returns what the observer found wrong.
+// Check returns the first violation that the observer found.
 func (m *Voters) Check(w World) error {
-	if h := &m.histories.things[w.history]; h.Wrong != "" {
+	if h := &m.histories.values[w.history]; h.Wrong != "" {
 		return fmt.Errorf("%s", h.Wrong)
 	}
 	return nil
 }
 
-// choice is one action that is open in a world.
+// choice is one action that is possible in a world.
 type choice struct {
 	node  int
 	input uint64
 }
 
-// Next visits what one action leads to.
+// Next visits each world that is one action away from w.
 func (m *Voters) Next(w World, visit func(string, World)) {
 	for _, c := range m.choices(w) {
-		m.take(w, c, visit)
+		m.perform(w, c, visit)
 	}
 }
 
-func (m *Voters) take(w World, c choice, visit func(string, World)) {
+func (m *Voters) perform(w World, c choice, visit func(string, World)) {
 	switch c.input {
 	case inputCrash:
 		m.crash(w, c.node, visit)
 		return
 	case inputPower:
-		m.power(w, visit)
+		m.losePower(w, visit)
 		return
 	}
-	m.act(w, c.node, c.input, visit)
+	m.applyInput(w, c.node, c.input, visit)
 }
 
-// choices returns the open actions; some may turn out to change nothing.
+// choices returns the possible actions; some of them may have no effect.
 func (m *Voters) choices(w World) []choice {
 	var out []choice
-	if int(w.blackouts) < m.Blackouts {
+	if int(w.powerLosses) < m.Blackouts {
 		out = append(out, choice{0, inputPower})
 	} else if m.EndsDark && m.Blackouts > 0 {
 		return nil
 	}
 	for i := 0; i+1 < len(w.net); i += 2 {
 		number := uint32(w.net[i]) | uint32(w.net[i+1])<<8
-		to := slices.Index(m.Names, m.messages.things[number].To)
+		to := slices.Index(m.Names, m.messages.values[number].To)
 		out = append(out, choice{to, uint64(number)})
 	}
 	for i := range m.Names {
-		n := &m.nodes.things[w.nodes[i]]
+		n := &m.nodes.values[w.nodes[i]]
 		if len(n.Pending) > 0 {
 			out = append(out, choice{i, inputSync})
 		}
@@ -288,7 +291,7 @@
 		}
 		out = append(out, choice{i, inputCrash})
 	}
-	h := &m.histories.things[w.history]
+	h := &m.histories.values[w.history]
 	for o, op := range m.Operators {
 		if int(h.Submitted[o]) < len(op.At) {
 			out = append(out, choice{op.At[h.Submitted[o]], inputSubmit + uint64(o)})
@@ -300,8 +303,8 @@
 	return out
 }
 
-// act gives one input to one node.
-func (m *Voters) act(w World, node int, input uint64, visit func(string, World)) {
+// applyInput applies one input to one node.
+func (m *Voters) applyInput(w World, node int, input uint64, visit func(string, World)) {
 	key := memoKey{w.nodes[node], input}
 	e, ok := m.memo[key]
 	if !ok {
@@ -315,7 +318,7 @@
 	if next.nodes == w.nodes && next.net == w.net && len(e.answers) == 0 && !submits {
 		return
 	}
-	if e.chosen != nil || len(e.answers) > 0 || submits || e.back {
+	if e.chosen != nil || len(e.answers) > 0 || submits || e.wentBack {
 		next.history = m.observe(next, e, input)
 	}
 	visit(m.label(node, input), next)
@@ -325,7 +328,7 @@
 	name := m.Names[node]
 	switch {
 	case input < inputSync:
-		msg := &m.messages.things[input]
+		msg := &m.messages.values[input]
 		return fmt.Sprintf("%s receives %s from %s: version %d ballot %d/%s/%d", name, kindNames[msg.Kind],
 			msg.From.Identity, msg.Version, msg.Ballot.Round, msg.Ballot.Entry, msg.Ballot.Life)
 	case input == inputSync:
@@ -333,11 +336,11 @@
 	case input == inputRetry:
 		return fmt.Sprintf("%s retries", name)
 	case input == inputFinish:
-		return fmt.Sprintf("%s finishes what it accepted", name)
+		return fmt.Sprintf("%s finishes the proposal that it accepted", name)
 	case input < inputAbandon:
 		return fmt.Sprintf("operator %d submits to %s", input-inputSubmit, name)
 	}
-	return fmt.Sprintf("operator %d gives up at %s", input-inputAbandon, name)
+	return fmt.Sprintf("operator %d abandons its request at %s", input-inputAbandon, name)
 }
 
 var kindNames = map[consensus.MessageKind]string{
@@ -346,7 +349,7 @@
 	consensus.MsgFetch: "fetch", consensus.MsgLearn: "learn", consensus.MsgLearned: "learned",
 }
 
-// addMessages returns the set with more numbers in it.
+// addMessages returns the set net with the numbers of more added.
 func addMessages(net string, more []uint16) string {
 	var list []uint16
 	for _, n := range more {
@@ -368,16 +371,16 @@
 	return string(b)
 }
 
-// prune takes the spent messages out of a set: those to the node that changed,
-// and new ones that come too late.
+// prune removes obsolete messages from net. It checks only messages to the changed
+// node and messages that are not yet in the network of w.
 func (m *Voters) prune(w *World, changed int, net string) string {
-	lossless := int(w.losses) == m.Losses && (m.Wiped == 0 || m.EndsDark || int(w.blackouts) == m.Blackouts)
+	lossless := int(w.losses) == m.Losses && (m.Wiped == 0 || m.EndsDark || int(w.powerLosses) == m.Blackouts)
 	var kept []byte
 	for i := 0; i+1 < len(net); i += 2 {
 		number := uint16(net[i]) | uint16(net[i+1])<<8
-		msg := &m.messages.things[number]
+		msg := &m.messages.values[number]
 		to := slices.Index(m.Names, msg.To)
-		if (to == changed || !containsMessage(w.net, number)) && m.isSpent(w.nodes[to], number, lossless) {
+		if (to == changed || !containsMessage(w.net, number)) && m.isObsoleteMemoized(w.nodes[to], number, lossless) {
 			if kept == nil {
 				kept = append(make([]byte, 0, len(net)), net[:i]...)
 			}
@@ -393,15 +396,15 @@
 	return string(kept)
 }
 
-func (m *Voters) isSpent(node uint32, message uint16, lossless bool) bool {
+func (m *Voters) isObsoleteMemoized(node uint32, message uint16, lossless bool) bool {
 	key := uint64(node)<<17 | uint64(message)<<1
 	if lossless {
 		key |= 1
 	}
-	v, ok := m.spentMemo[key]
+	v, ok := m.obsoleteMemo[key]
 	if !ok {
-		v = m.spent(&m.nodes.things[node], &m.messages.things[message], lossless)
-		m.spentMemo[key] = v
+		v = m.isObsolete(&m.nodes.values[node], &m.messages.values[message], lossless)
+		m.obsoleteMemo[key] = v
 	}
 	return v
 }
--- a/internal/explore/voters_step.go
+++ b/internal/explore/voters_step.go
@@ -7,20 +7,20 @@
 	"github.com/vanillagrade/vanillagrade/internal/consensus"
 )
 
-// effect computes what one input does to one node.
+// effect computes the result of one input at one node.
 func (m *Voters) effect(number uint32, input uint64) effect {
-	n := m.nodes.things[number]
+	n := m.nodes.values[number]
 	before := n.State.Chosen.Version
 	var in consensus.Input
 	switch {
 	case input < inputSync:
-		in = consensus.Received{Message: m.messages.things[input]}
+		in = consensus.Received{Message: m.messages.values[input]}
 	case input == inputSync:
 		last := n.Pending[len(n.Pending)-1]
 		back := last.Record.Chosen.Version < n.Disk.Chosen.Version
 		n.Disk, n.Pending = last.Record, nil
 		e := m.finishEffect(n, before, consensus.Synced{Seq: last.Seq})
-		e.back = back
+		e.wentBack = back
 		return e
 	case input == inputRetry:
 		in = consensus.Retry{}
@@ -44,16 +44,16 @@
 		inputs = inputs[1:]
 		for _, msg := range out.Messages {
 			if msg.To == n.State.Self.Entry {
-				// As at run time: a node takes its own messages in at once.
+				// As in production, a node receives its own messages at once.
 				inputs = append(inputs, consensus.Received{Message: msg})
 				continue
 			}
-			if m.dropped(&msg) {
+			if m.isIrrelevant(&msg) {
 				continue
 			}
 			number := m.messages.number(msg)
 			if number > 0xffff {
-				panic("explore: more messages than numbers")
+				panic("explore: more than 65536 distinct messages")
 			}
 			e.sent = append(e.sent, uint16(number))
 		}
@@ -80,8 +80,8 @@
 	return e
 }
 
-// renumber counts writes from the last completed one, so that states which
-// differ only in how many writes there were before are one.
+// renumber numbers writes relative to the last completed one, so that states that
+// differ only in the number of earlier writes become equal.
 func renumber(n *nodeState) {
 	done := n.State.Done
 	n.State.Issued -= done
@@ -96,15 +96,14 @@
 	}
 }
 
-// spent reports whether a message can never again have an effect on the node,
-// whatever happens. Leaving such messages out of the network merges states that
-// differ in nothing that matters.
-func (m *Voters) spent(n *nodeState, msg *consensus.Message, lossless bool) bool {
+// isObsolete reports whether a message can never again have an effect on the node.
+// Removing such messages from the network merges equivalent states.
+func (m *Voters) isObsolete(n *nodeState, msg *consensus.Message, lossless bool) bool {
 	durable := n.Disk.Chosen.Version
 	switch msg.Kind {
 	case consensus.MsgPromise, consensus.MsgAccepted:
-		// A ballot is used for one attempt, and an attempt that went on to ask
-		// for votes takes no more promises.
+		// A ballot is used for one attempt, and an attempt in its accept phase
+		// ignores further promises.
 		a := n.State.Attempt
 		if a == nil || a.Ballot != msg.Ballot || a.Version != msg.Version {
 			return true
@@ -116,14 +115,14 @@
 	case consensus.MsgReject, consensus.MsgChosen:
 		return lossless && msg.Version <= durable
 	case consensus.MsgLearn:
-		return lossless && msg.Value.Version <= durable && m.dropped(&consensus.Message{Kind: consensus.MsgLearned})
+		return lossless && msg.Value.Version <= durable && m.isIrrelevant(&consensus.Message{Kind: consensus.MsgLearned})
 	}
 	return false
 }
 
-// dropped reports whether a message can't matter in this model: an
-// acknowledgement counts only for a replacement.
-func (m *Voters) dropped(msg *consensus.Message) bool {
+// isIrrelevant reports whether a message can't have an effect in this model: a
+// MsgLearned counts only for a membership change.
+func (m *Voters) isIrrelevant(msg *consensus.Message) bool {
 	return msg.Kind == consensus.MsgLearned && !slices.ContainsFunc(m.Operators, func(o Operator) bool {
 		return o.Command.ChangesVoters()
 	})
@@ -136,9 +135,10 @@
 	return consensus.Step(s, in)
 }
 
-// crash visits what a crash of the node may leave.
+// crash visits the worlds that may follow a crash of the node or the loss of its
+// disk.
 func (m *Voters) crash(w World, node int, visit func(string, World)) {
-	n := m.nodes.things[w.nodes[node]]
+	n := m.nodes.values[w.nodes[node]]
 	if int(w.crashes) < m.Crashes {
 		to := m.restarted(w, node, n.Disk, false)
 		to.crashes++
@@ -150,61 +150,62 @@
 		}
 	}
 	if int(w.losses) < m.Losses {
-		to := m.restarted(w, node, m.emptied(node, &n), true)
+		to := m.restarted(w, node, m.emptyRecord(node, &n), true)
 		to.losses++
 		visit(fmt.Sprintf("%s loses its disk", m.Names[node]), to)
 	}
 }
 
-// emptied returns the record of a node whose disk was lost.
-func (m *Voters) emptied(node int, n *nodeState) consensus.Record {
+// emptyRecord returns the record of a node whose disk was lost.
+func (m *Voters) emptyRecord(node int, n *nodeState) consensus.Record {
 	return consensus.Record{Self: consensus.Voter{Entry: m.Names[node], Identity: diskName(m.Names[node], n.Disks+1)}}
 }
 
-// restarted returns the world in which a node has started again from a record.
+// restarted returns the world in which a node has restarted from a record.
 func (m *Voters) restarted(w World, node int, r consensus.Record, lost bool) World {
-	n := m.nodes.things[w.nodes[node]]
+	n := m.nodes.values[w.nodes[node]]
 	if m.OnRestart != nil {
 		r = m.OnRestart(r, n.State, lost)
 	}
-	n.Life++
+	n.Incarnation++
 	if lost {
 		n.Disks++
 	}
 	n.Disk, n.Pending = r, nil
-	n.State = consensus.Start(r, m.Names[:m.Genesis], m.lifeOf(node, n.Life))
+	n.State = consensus.Start(r, m.Names[:m.Genesis], m.incarnationOf(node, n.Incarnation))
 	w.nodes[node] = m.nodes.number(n)
 	return w
 }
 
-// observe updates the history by an effect.
+// observe returns the number of the history of w with an effect added.
 func (m *Voters) observe(w World, e effect, input uint64) uint32 {
-	h := m.histories.things[w.history]
+	h := m.histories.values[w.history]
 	h.Answers = slices.Clone(h.Answers)
 	if input >= inputSubmit && input < inputAbandon {
 		h.Submitted[input-inputSubmit]++
 	}
-	if e.back {
-		h.fail("a disk went back to an older version")
+	if e.wentBack {
+		h.fail("a disk reverted to an older version")
 	}
 	if e.chosen != nil {
-		h.choose(*e.chosen, m.Operators)
+		h.recordChosen(*e.chosen, m.Operators)
 	}
 	for _, a := range e.answers {
-		m.tell(w, &h, int(a.Token), a.Outcome)
+		m.recordAnswer(w, &h, int(a.Token), a.Outcome)
 	}
 	return m.histories.number(h)
 }
 
-// fail notes what went wrong first.
+// fail records a violation, unless an earlier one is recorded.
 func (h *history) fail(format string, args ...any) {
 	if h.Wrong == "" {
 		h.Wrong = fmt.Sprintf(format, args...)
 	}
 }
 
-// choose notes that a node holds v to be chosen.
-func (h *history) choose(v consensus.Value, operators []Operator) {
+// recordChosen records that a node considers v chosen, and checks v against the
+// values chosen before.
+func (h *history) recordChosen(v consensus.Value, operators []Operator) {
 	for i := range h.Chosen {
 		if h.Chosen[i].Version != v.Version {
 			continue
@@ -234,22 +235,22 @@
 	return a.Lineage == b.Lineage && a.Change == b.Change && slices.Equal(a.Voters, b.Voters) && slices.Equal(a.Recent, b.Recent)
 }
 
-// tell notes an answer and checks it against all that is known by now.
-func (m *Voters) tell(w World, h *history, operator int, o consensus.Outcome) {
-	a := told{Operator: operator, Outcome: o, Submitted: h.Submitted[operator]}
+// recordAnswer records an answer and checks it against the history so far.
+func (m *Voters) recordAnswer(w World, h *history, operator int, o consensus.Outcome) {
+	a := answerRecord{Operator: operator, Outcome: o, Submitted: h.Submitted[operator]}
 	if !slices.Contains(h.Answers, a) {
 		h.Answers = append(h.Answers, a)
-		slices.SortFunc(h.Answers, func(a, b told) int { return a.Operator - b.Operator })
+		slices.SortFunc(h.Answers, func(a, b answerRecord) int { return a.Operator - b.Operator })
 	}
 	h.checkAnswer(a, m.Operators)
 	c := &m.Operators[operator].Command
 	if c.ChangesVoters() && o.Kind == consensus.Accepted {
-		m.checkSettled(w, h, c.New)
+		m.checkReplicated(w, h, c.New)
 	}
 }
 
 // checkAnswer compares one answer with the chosen values.
-func (h *history) checkAnswer(a told, operators []Operator) {
+func (h *history) checkAnswer(a answerRecord, operators []Operator) {
 	c := &operators[a.Operator].Command
 	if c.Kind != consensus.Configure {
 		return
@@ -258,40 +259,41 @@
 	switch a.Outcome.Kind {
 	case consensus.Accepted:
 		if !chosen {
-			h.fail("operator %d was told yes, but %q is not chosen", a.Operator, c.Change.ID)
+			h.fail("operator %d was answered accepted, but %q is not chosen", a.Operator, c.Change.ID)
 		}
 	case consensus.Conflicted, consensus.Reused:
 		if chosen {
-			h.fail("operator %d was told of a conflict, but %q is chosen", a.Operator, c.Change.ID)
+			h.fail("operator %d was answered conflict, but %q is chosen", a.Operator, c.Change.ID)
 		}
 	case consensus.Unavailable:
 		if chosen && a.Submitted == 1 && h.Submitted[a.Operator] == 1 {
-			h.fail("operator %d was told no, but %q is chosen", a.Operator, c.Change.ID)
+			h.fail("operator %d was answered unavailable, but %q is chosen", a.Operator, c.Change.ID)
 		}
 	}
 }
 
-// checkSettled wants a membership change that was answered to be on the disk of
-// the new voter and of a majority, so that the next loss can't undo it.
-func (m *Voters) checkSettled(w World, h *history, updated consensus.Voter) {
+// checkReplicated checks that a membership change that was answered is on the disk
+// of the new voter and of a majority, so that the next loss can't undo it.
+func (m *Voters) checkReplicated(w World, h *history, updated consensus.Voter) {
 	i := slices.IndexFunc(h.Chosen, func(v consensus.Value) bool { return v.Votes(updated) })
 	if i < 0 {
-		h.fail("a change of voters was answered but is not chosen")
+		h.fail("a membership change was answered but is not chosen")
 		return
 	}
 	value := &h.Chosen[i]
-	holders, hasIt := 0, false
+	holders, newVoterHolds := 0, false
 	for _, voter := range value.Voters {
 		n := slices.Index(m.Names, voter.Entry)
-		disk := &m.nodes.things[w.nodes[n]].Disk
-		// A disk that was lost since may have held it when it said so.
+		disk := &m.nodes.values[w.nodes[n]].Disk
+		// A disk that was lost since then may have held the change when it
+		// confirmed it.
 		if disk.Self == voter && disk.Chosen.Version < value.Version {
 			continue
 		}
 		holders++
-		hasIt = hasIt || voter == updated
+		newVoterHolds = newVoterHolds || voter == updated
 	}
-	if !hasIt || holders < len(value.Voters)/2+1 {
-		h.fail("a change of voters was answered with only %d disks holding it (the new one: %v)", holders, hasIt)
+	if !newVoterHolds || holders < len(value.Voters)/2+1 {
+		h.fail("a membership change was answered with only %d disks holding it (new voter among them: %v)", holders, newVoterHolds)
 	}
 }
--- a/internal/explore/voters_test.go
+++ b/internal/explore/voters_test.go
@@ -12,7 +12,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-var deep = flag.Bool("explore.deep", false, "explore the larger bounds too (minutes, gigabytes)")
+var deep = flag.Bool("explore.deep", false, "also explore the larger bounds (takes minutes and gigabytes)")
 
 // deepLimit bounds the states of one deep run.
 const deepLimit = 6_000_000
@@ -30,19 +30,19 @@
 	return Operator{Command: consensus.Command{Kind: consensus.Replace, Old: old, New: voter}, At: at}
 }
 
-// add makes a spare disk a voter.
+// add returns an operator who makes a spare disk a voter.
 func add(entry job.EntryID, at ...int) Operator {
 	voter := consensus.Voter{Entry: entry, Identity: diskName(entry, 0)}
 	return Operator{Command: consensus.Command{Kind: consensus.Add, New: voter}, At: at}
 }
 
-// judgedBy lets a change of voters follow one version only.
-func judgedBy(version uint64, o Operator) Operator {
+// expectVersion lets a membership change follow one version only.
+func expectVersion(version uint64, o Operator) Operator {
 	o.Command.Expect = version
 	return o
 }
 
-func givingUp(o Operator) Operator {
+func abandoning(o Operator) Operator {
 	o.GivesUp = true
 	return o
 }
@@ -57,35 +57,36 @@
 	return m
 }
 
-// dark lets all lose power once while up to some disks are lost.
-func (m *Voters) dark(wiped int) *Voters {
+// withPowerLoss lets all nodes lose power once, with up to wiped disks lost.
+func (m *Voters) withPowerLoss(wiped int) *Voters {
 	m.Blackouts, m.Wiped = 1, wiped
 	return m
 }
 
-// endsDark asks only whether what is left resumes.
-func (m *Voters) endsDark(wiped int) *Voters {
+// endWithPowerLoss is withPowerLoss for runs that end there: the remaining nodes
+// are only checked for recovery.
+func (m *Voters) endWithPowerLoss(wiped int) *Voters {
 	m.EndsDark = true
-	return m.dark(wiped)
+	return m.withPowerLoss(wiped)
 }
 
-// size says when a scenario runs.
+// size determines when a scenario runs.
 type size int
 
 const (
 	always size = iota
-	// notUnderRace is too slow under the race detector.
+	// notUnderRace scenarios are too slow under the race detector.
 	notUnderRace
 	onlyDeep
 )
 
-// Each scenario lets messages be lost, repeated and reordered without bound;
-// what else may happen stands in its name.
+// Each scenario lets messages be lost, duplicated and reordered without bound; its
+// name states the other faults.
 var scenarios = []struct {
 	name  string
 	size  size
 	model func() *Voters
-	// want are outcomes that must have been met, or the bounds prove nothing.
+	// want lists outcomes that must occur; without them the bounds prove nothing.
 	want []string
 }{
 	{"one change, a crash between any two events", always, func() *Voters {
@@ -94,13 +95,13 @@
 	{"two operators with one number", always, func() *Voters {
 		return three(1, configure("x", 2, 0), configure("y", 2, 1))
 	}, []string{"0: accepted", "0: conflict", "1: accepted", "1: conflict"}},
-	{"a change sent again to another voter", always, func() *Voters {
+	{"a change resent to another voter", always, func() *Voters {
 		return three(1, configure("x", 2, 0, 2))
 	}, []string{"0: accepted"}},
-	{"an operator who gives up", always, func() *Voters {
-		return three(1, givingUp(configure("x", 2, 0)))
+	{"an operator who abandons a change", always, func() *Voters {
+		return three(1, abandoning(configure("x", 2, 0)))
 	}, []string{"0: accepted", "0: unavailable", "0: unknown"}},
-	{"numbers that are not above the one in force", always, func() *Voters {
+	{"a number that is not above the one in effect", always, func() *Voters {
 		return three(1, configure("x", 2, 0)).with(func(m *Voters) { m.Number = 2 })
 	}, []string{"0: conflict"}},
 	{"a disk lost during a change", always, func() *Voters {
@@ -115,47 +116,47 @@
 	{"a lost disk replaced under its old name", always, func() *Voters {
 		return three(1, replace("c", "c", 1, 0)).with(func(m *Voters) { m.Losses = 1 })
 	}, []string{"0: accepted"}},
-	{"a second disk lost during or after the repair", notUnderRace, func() *Voters {
+	{"a second disk lost during or after a replacement", notUnderRace, func() *Voters {
 		return three(1, replace("c", "c", 1, 0)).with(func(m *Voters) { m.Losses = 2 })
 	}, []string{"0: accepted"}},
-	{"a spare in the place of a voter, with a crash", notUnderRace, func() *Voters {
+	{"a voter replaced by a spare, with a crash", notUnderRace, func() *Voters {
 		return three(1, replace("c", "d", 0, 0)).with(func(m *Voters) { m.Names, m.Crashes = names[:4], 1 })
 	}, []string{"0: accepted"}},
 	{"a spare added, with a crash", notUnderRace, func() *Voters {
 		return three(1, add("d", 0)).with(func(m *Voters) { m.Names, m.Crashes = names[:4], 1 })
 	}, []string{"0: accepted"}},
-	{"a disk lost during or after widening", notUnderRace, func() *Voters {
+	{"a disk lost during or after an addition", notUnderRace, func() *Voters {
 		return three(1, add("d", 0)).with(func(m *Voters) { m.Names, m.Losses = names[:4], 1 })
 	}, []string{"0: accepted"}},
-	{"all power and a disk lost during a change, between any two events", notUnderRace, func() *Voters {
-		return three(1, configure("x", 2, 0)).with(func(m *Voters) { m.SyncAtOnce = false }).endsDark(1)
+	{"all power and a disk lost between any two events of a change", notUnderRace, func() *Voters {
+		return three(1, configure("x", 2, 0)).with(func(m *Voters) { m.SyncAtOnce = false }).endWithPowerLoss(1)
 	}, []string{"0: accepted"}},
 	{"all power and a disk lost between two changes", notUnderRace, func() *Voters {
-		return three(1, configure("x", 2, 0), configure("y", 3, 0)).endsDark(1)
+		return three(1, configure("x", 2, 0), configure("y", 3, 0)).endWithPowerLoss(1)
 	}, []string{"0: accepted", "1: accepted"}},
-	{"all power lost twice, each time with a disk of those left", notUnderRace, func() *Voters {
-		return three(1, configure("x", 2, 0)).dark(1).with(func(m *Voters) { m.Blackouts = 2 })
+	{"all power lost twice, each time with one disk", notUnderRace, func() *Voters {
+		return three(1, configure("x", 2, 0)).withPowerLoss(1).with(func(m *Voters) { m.Blackouts = 2 })
 	}, []string{"0: accepted"}},
-	{"all power and a disk lost during or after a mend", notUnderRace, func() *Voters {
-		return three(1, replace("c", "c", 1, 0)).with(func(m *Voters) { m.Losses = 1 }).endsDark(1)
+	{"all power and a disk lost during or after a replacement", notUnderRace, func() *Voters {
+		return three(1, replace("c", "c", 1, 0)).with(func(m *Voters) { m.Losses = 1 }).endWithPowerLoss(1)
 	}, []string{"0: accepted"}},
-	{"all power and a disk lost while a spare takes a voter's place", notUnderRace, func() *Voters {
-		return three(1, replace("c", "d", 0, 0)).with(func(m *Voters) { m.Names = names[:4] }).endsDark(1)
+	{"all power and a disk lost while a spare replaces a voter", notUnderRace, func() *Voters {
+		return three(1, replace("c", "d", 0, 0)).with(func(m *Voters) { m.Names = names[:4] }).endWithPowerLoss(1)
 	}, []string{"0: accepted"}},
-	{"all power and a disk lost during or after widening", notUnderRace, func() *Voters {
-		return three(1, add("d", 0)).with(func(m *Voters) { m.Names = names[:4] }).endsDark(1)
+	{"all power and a disk lost during or after an addition", notUnderRace, func() *Voters {
+		return three(1, add("d", 0)).with(func(m *Voters) { m.Names = names[:4] }).endWithPowerLoss(1)
 	}, []string{"0: accepted"}},
 	{"all power and two of five disks lost during a change", onlyDeep, func() *Voters {
-		return three(1, configure("x", 2, 0)).with(func(m *Voters) { m.Names, m.Genesis = names[:5], 5 }).endsDark(2)
+		return three(1, configure("x", 2, 0)).with(func(m *Voters) { m.Names, m.Genesis = names[:5], 5 }).endWithPowerLoss(2)
 	}, []string{"0: accepted"}},
-	{"two entries mend the same voter", onlyDeep, func() *Voters {
-		return three(1, judgedBy(1, replace("c", "d", 0, 0)), judgedBy(1, replace("b", "d", 0, 1))).with(func(m *Voters) { m.Names = names[:4] })
+	{"two replacements by the same spare", onlyDeep, func() *Voters {
+		return three(1, expectVersion(1, replace("c", "d", 0, 0)), expectVersion(1, replace("b", "d", 0, 1))).with(func(m *Voters) { m.Names = names[:4] })
 	}, []string{"0: accepted", "1: accepted"}},
-	{"a spare added while a change is made", onlyDeep, func() *Voters {
+	{"a spare added during a change", onlyDeep, func() *Voters {
 		return three(1, add("d", 0), configure("y", 2, 1)).with(func(m *Voters) { m.Names = names[:4] })
 	}, []string{"0: accepted", "1: accepted"}},
-	{"two operators, one gives up", notUnderRace, func() *Voters {
-		return three(1, givingUp(configure("x", 2, 0)), configure("y", 2, 1))
+	{"two operators, one abandons its change", notUnderRace, func() *Voters {
+		return three(1, abandoning(configure("x", 2, 0)), configure("y", 2, 1))
 	}, []string{"0: accepted", "0: conflict", "0: unavailable", "0: unknown", "1: accepted", "1: conflict"}},
 	{"two operators with one number and a crash", notUnderRace, func() *Voters {
 		return three(1, configure("x", 2, 0), configure("y", 2, 1)).with(func(m *Voters) { m.Crashes = 1 })
@@ -189,13 +190,13 @@
 			qt.Assert(t, r.Violation, qt.IsNil)
 			qt.Assert(t, r.Complete || c.size == onlyDeep, qt.IsTrue)
 			for _, want := range c.want {
-				qt.Assert(t, m.Outcomes()[want], qt.IsTrue, qt.Commentf("never met %q", want))
+				qt.Assert(t, m.Outcomes()[want], qt.IsTrue, qt.Commentf("outcome %q never occurred", want))
 			}
 		})
 	}
 }
 
-// answeredEarly answers a change of voters as soon as it is chosen.
+// answeredEarly answers a membership change as soon as it is chosen.
 func answeredEarly(step Stepper, s consensus.State, in consensus.Input) (consensus.State, consensus.Output) {
 	s, out := step(s, in)
 	for _, w := range s.Settle {
@@ -205,16 +206,17 @@
 	return s, out
 }
 
-// Each mutation is a mistake that an implementer of such a protocol makes, and
-// after which an accepted configuration is lost or two are in force. If the
-// explorer did not see it, its silence about the real code would mean nothing.
+// Each mutation is a mistake that an implementer of such a protocol could make,
+// after which an accepted configuration is lost or two are in effect. If the
+// explorer did not detect the mutations, its passes on the real code would prove
+// nothing.
 var mutations = []struct {
 	name  string
 	size  size
 	model func() *Voters
 	want  string
 }{
-	{"votes leave before they are synced", notUnderRace, func() *Voters {
+	{"votes are sent before they are synced", notUnderRace, func() *Voters {
 		return three(1, configure("x", 2, 0), configure("y", 2, 1)).with(func(m *Voters) { m.EarlySend, m.Crashes = true, 1 })
 	}, "two values of version 2"},
 	{"a restart forgets the promise", always, func() *Voters {
@@ -262,12 +264,12 @@
 			}
 		})
 	}, "number 2 chosen after number 2"},
-	{"a replacement is answered before it is safe", always, func() *Voters {
+	{"a replacement is answered before it is replicated", always, func() *Voters {
 		return three(1, replace("c", "d", 0, 0)).with(func(m *Voters) {
 			m.Names = names[:4]
 			m.OnStep = answeredEarly
 		})
-	}, "a change of voters was answered with only"},
+	}, "a membership change was answered with only"},
 	{"the register is formed by a majority", always, func() *Voters {
 		return (&Voters{Names: names[:3], Genesis: 3, MaxRound: 2, SyncAtOnce: true, Losses: 1}).with(func(m *Voters) {
 			m.OnStep = func(step Stepper, s consensus.State, in consensus.Input) (consensus.State, consensus.Output) {
@@ -290,17 +292,17 @@
 			}
 		})
 	}, "two values of version 1"},
-	{"an addition is answered before it is safe", always, func() *Voters {
+	{"an addition is answered before it is replicated", always, func() *Voters {
 		return three(1, add("d", 0)).with(func(m *Voters) {
 			m.Names = names[:4]
 			m.OnStep = answeredEarly
 		})
-	}, "a change of voters was answered with only"},
-	{"votes leave before they are synced, and all lose power", always, func() *Voters {
-		return three(1, configure("x", 2, 0)).with(func(m *Voters) { m.EarlySend = true }).endsDark(0)
+	}, "a membership change was answered with only"},
+	{"votes are sent before they are synced, and all lose power", always, func() *Voters {
+		return three(1, configure("x", 2, 0)).with(func(m *Voters) { m.EarlySend = true }).endWithPowerLoss(0)
 	}, "reads number 0, though 2 was acknowledged"},
-	{"an emptied disk votes under the old identity after all lost power", always, func() *Voters {
-		return three(1, configure("x", 2, 0)).endsDark(1).with(func(m *Voters) {
+	{"an empty disk votes under the old identity after all lost power", always, func() *Voters {
+		return three(1, configure("x", 2, 0)).endWithPowerLoss(1).with(func(m *Voters) {
 			m.OnRestart = func(r consensus.Record, before consensus.State, lost bool) consensus.Record {
 				if lost {
 					r.Self = before.Self
@@ -309,15 +311,15 @@
 			}
 		})
 	}, "reads number 0, though 2 was acknowledged"},
-	{"what was accepted is forgotten when all lose power", always, func() *Voters {
-		return three(1, configure("x", 2, 0)).endsDark(1).with(func(m *Voters) {
+	{"accepted proposals are forgotten when all lose power", always, func() *Voters {
+		return three(1, configure("x", 2, 0)).endWithPowerLoss(1).with(func(m *Voters) {
 			m.OnRestart = func(r consensus.Record, _ consensus.State, _ bool) consensus.Record {
 				r.Accepted = nil
 				return r
 			}
 		})
 	}, "reads number 0, though 2 was acknowledged"},
-	{"a restart uses its old ballots again", notUnderRace, func() *Voters {
+	{"a restart reuses its old ballots", notUnderRace, func() *Voters {
 		return three(1, configure("x", 2, 0), configure("y", 2, 0)).with(func(m *Voters) {
 			m.SyncAtOnce, m.OneLife, m.Crashes = false, true, 1
 		})
