--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -11,21 +11,22 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// decoder turns a syntax tree into a File and collects all problems on the way.
+// decoder converts a syntax tree to a File and collects all problems found.
 type decoder struct {
 	name     string
 	problems Problems
 }
 
-// place is where something was said, for problems found after decoding.
-type place = *token.Token
+// position is where a key is in the file, for problems found after decoding.
+type position = *token.Token
 
-// fields maps each known key of a mapping to what reads its value.
+// fields maps each known key of a mapping to the function that reads its value.
 type fields map[string]func(ast.Node)
 
-// mapping reads node as a mapping of known keys and returns the place of each.
-func (d *decoder) mapping(node ast.Node, what string, known fields) map[string]place {
-	seen := map[string]place{}
+// mapping reads node as a mapping of known keys and returns the positions of the
+// keys found.
+func (d *decoder) mapping(node ast.Node, what string, known fields) map[string]position {
+	seen := map[string]position{}
 	var values []*ast.MappingValueNode
 	switch n := node.(type) {
 	case *ast.MappingNode:
@@ -33,21 +34,21 @@
 	case *ast.MappingValueNode:
 		values = []*ast.MappingValueNode{n}
 	default:
-		d.node(node, "%s: must be a mapping of keys", what)
+		d.problemAtNode(node, "%s: must be a mapping of keys", what)
 		return seen
 	}
 	for _, v := range values {
 		key, ok := v.Key.(*ast.StringNode)
 		if !ok {
-			d.token(v.Key.GetToken(), "%s: a key must be text", what)
+			d.problemAtToken(v.Key.GetToken(), "%s: a key must be text", what)
 			continue
 		}
 		read := known[key.Value]
 		switch {
 		case read == nil:
-			d.token(key.Token, "%s: unknown key %q (known: %s)", what, key.Value, known.names())
+			d.problemAtToken(key.Token, "%s: unknown key %q (known: %s)", what, key.Value, known.names())
 		case seen[key.Value] != nil:
-			d.token(key.Token, "%s: key %q stands twice, first on line %d", what, key.Value, seen[key.Value].Position.Line)
+			d.problemAtToken(key.Token, "%s: key %q stands twice, first on line %d", what, key.Value, seen[key.Value].Position.Line)
 		default:
 			seen[key.Value] = key.Token
 			read(v.Value)
@@ -65,15 +66,16 @@
 	return strings.Join(names, ", ")
 }
 
-// list calls each for the elements of node.
+// list calls each for every element of node, which must be a list of at most limit
+// elements.
 func (d *decoder) list(node ast.Node, what string, limit int, each func(ast.Node)) {
 	n, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.node(node, "%s: must be a list", what)
+		d.problemAtNode(node, "%s: must be a list", what)
 		return
 	}
 	if len(n.Values) > limit {
-		d.node(node, "%s: %d elements; at most %d are allowed", what, len(n.Values), limit)
+		d.problemAtNode(node, "%s: %d elements; at most %d are allowed", what, len(n.Values), limit)
 		return
 	}
 	for _, v := range n.Values {
@@ -81,12 +83,12 @@
 	}
 }
 
-func (d *decoder) node(n ast.Node, format string, args ...any) {
+func (d *decoder) problemAtNode(n ast.Node, format string, args ...any) {
 	if n == nil {
-		d.at(1, 1, format, args...)
+		d.problemAt(1, 1, format, args...)
 		return
 	}
-	d.token(n.GetToken(), format, args...)
+	d.problemAtToken(n.GetToken(), format, args...)
 }
 
 func (d *decoder) file(f *File, tree *ast.File) {
@@ -96,13 +98,13 @@
 			continue
 		}
 		if root != nil {
-			d.node(doc.Body, "a second document; a file is one document")
+			d.problemAtNode(doc.Body, "a second document; a file is one document")
 			return
 		}
 		root = doc.Body
 	}
 	if root == nil {
-		d.at(1, 1, "empty file")
+		d.problemAt(1, 1, "empty file")
 		return
 	}
 	f.Limits = Limits{
@@ -110,27 +112,27 @@
 		MaxQueuedTasks: DefaultMaxQueuedTasks, MaxQueuedBytes: DefaultMaxQueuedBytes,
 	}
 	f.Targets = TargetDefaults{Lease: DefaultLease, Slots: DefaultSlots, Connections: DefaultConnections}
-	places := &filePlaces{}
+	positions := &keyPositions{}
 	seen := d.mapping(root, "file", fields{
 		"number":   func(n ast.Node) { f.Number = uint64(d.integer(n, "number", 1, maxNumber)) },
-		"teams":    func(n ast.Node) { d.teams(f, places, n) },
-		"services": func(n ast.Node) { d.services(f, places, n) },
-		"limits":   func(n ast.Node) { places.limits = d.limits(&f.Limits, n) },
-		"targets":  func(n ast.Node) { places.targets = d.targets(&f.Targets, n) },
+		"teams":    func(n ast.Node) { d.teams(f, positions, n) },
+		"services": func(n ast.Node) { d.services(f, positions, n) },
+		"limits":   func(n ast.Node) { positions.limits = d.limits(&f.Limits, n) },
+		"targets":  func(n ast.Node) { positions.targets = d.targets(&f.Targets, n) },
 	})
 	d.required(root, "file", seen, "number", "services")
-	d.check(f, places)
+	d.check(f, positions)
 }
 
-func (d *decoder) required(n ast.Node, what string, seen map[string]place, keys ...string) {
+func (d *decoder) required(n ast.Node, what string, seen map[string]position, keys ...string) {
 	for _, key := range keys {
 		if seen[key] == nil {
-			d.node(n, "%s: key %q is missing", what, key)
+			d.problemAtNode(n, "%s: key %q is missing", what, key)
 		}
 	}
 }
 
-func (d *decoder) teams(f *File, places *filePlaces, node ast.Node) {
+func (d *decoder) teams(f *File, positions *keyPositions, node ast.Node) {
 	d.list(node, "teams", maxTeams, func(n ast.Node) {
 		t := Team{Weight: 1}
 		what := fmt.Sprintf("teams[%d]", len(f.Teams))
@@ -142,11 +144,11 @@
 		})
 		d.required(n, what, seen, "name")
 		f.Teams = append(f.Teams, t)
-		places.teams = append(places.teams, seen)
+		positions.teams = append(positions.teams, seen)
 	})
 }
 
-func (d *decoder) services(f *File, places *filePlaces, node ast.Node) {
+func (d *decoder) services(f *File, positions *keyPositions, node ast.Node) {
 	d.list(node, "services", maxServices, func(n ast.Node) {
 		s := Service{Urgency: job.UrgencyInteractive}
 		what := fmt.Sprintf("services[%d]", len(f.Services))
@@ -164,14 +166,14 @@
 			s.Pool = s.Name
 		}
 		f.Services = append(f.Services, s)
-		places.services = append(places.services, seen)
+		positions.services = append(positions.services, seen)
 	})
 	if len(f.Services) == 0 {
-		d.node(node, "services: must name at least one")
+		d.problemAtNode(node, "services: must name at least one")
 	}
 }
 
-func (d *decoder) limits(l *Limits, node ast.Node) map[string]place {
+func (d *decoder) limits(l *Limits, node ast.Node) map[string]position {
 	return d.mapping(node, "limits", fields{
 		"max_job_tasks":    func(n ast.Node) { l.MaxJobTasks = int(d.integer(n, "limits.max_job_tasks", 1, maxTasks)) },
 		"max_job_bytes":    func(n ast.Node) { l.MaxJobBytes = d.size(n, "limits.max_job_bytes") },
@@ -180,7 +182,7 @@
 	})
 }
 
-func (d *decoder) targets(t *TargetDefaults, node ast.Node) map[string]place {
+func (d *decoder) targets(t *TargetDefaults, node ast.Node) map[string]position {
 	return d.mapping(node, "targets", fields{
 		"lease":       func(n ast.Node) { t.Lease = d.duration(n, "targets.lease", minLease, maxLease) },
 		"slots":       func(n ast.Node) { t.Slots = int(d.integer(n, "targets.slots", 1, maxSlots)) },
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -9,33 +9,33 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Diff returns what changes from old to updated, one line a change, in a fixed
-// order. old may be nil: everything is new then.
+// Diff returns the changes from old to updated, one line per change, in a fixed
+// order. If old is nil, everything is new.
 func Diff(old, updated *File) []string {
 	if old == nil {
 		old = &File{}
 	}
 	var lines []string
-	put := func(what string, before, after any) {
+	compare := func(what string, before, after any) {
 		if before != after {
 			lines = append(lines, fmt.Sprintf("%s: %v -> %v", what, before, after))
 		}
 	}
-	put("number", old.Number, updated.Number)
-	put("limits.max_job_tasks", old.Limits.MaxJobTasks, updated.Limits.MaxJobTasks)
-	put("limits.max_job_bytes", old.Limits.MaxJobBytes, updated.Limits.MaxJobBytes)
-	put("limits.max_queued_tasks", old.Limits.MaxQueuedTasks, updated.Limits.MaxQueuedTasks)
-	put("limits.max_queued_bytes", old.Limits.MaxQueuedBytes, updated.Limits.MaxQueuedBytes)
-	put("targets.lease", old.Targets.Lease, updated.Targets.Lease)
-	put("targets.slots", old.Targets.Slots, updated.Targets.Slots)
-	put("targets.connections", old.Targets.Connections, updated.Targets.Connections)
-	lines = append(lines, named("team", old.Teams, updated.Teams, func(t Team) string { return t.Name })...)
-	lines = append(lines, named("service", old.Services, updated.Services, func(s Service) string { return s.Name })...)
+	compare("number", old.Number, updated.Number)
+	compare("limits.max_job_tasks", old.Limits.MaxJobTasks, updated.Limits.MaxJobTasks)
+	compare("limits.max_job_bytes", old.Limits.MaxJobBytes, updated.Limits.MaxJobBytes)
+	compare("limits.max_queued_tasks", old.Limits.MaxQueuedTasks, updated.Limits.MaxQueuedTasks)
+	compare("limits.max_queued_bytes", old.Limits.MaxQueuedBytes, updated.Limits.MaxQueuedBytes)
+	compare("targets.lease", old.Targets.Lease, updated.Targets.Lease)
+	compare("targets.slots", old.Targets.Slots, updated.Targets.Slots)
+	compare("targets.connections", old.Targets.Connections, updated.Targets.Connections)
+	lines = append(lines, diffByName("team", old.Teams, updated.Teams, func(t Team) string { return t.Name })...)
+	lines = append(lines, diffByName("service", old.Services, updated.Services, func(s Service) string { return s.Name })...)
 	return lines
 }
 
-// named compares two lists of structs by their names.
-func named[T any](kind string, old, updated []T, name func(T) string) []string {
+// diffByName compares two lists of structs and matches their elements by name.
+func diffByName[T any](kind string, old, updated []T, name func(T) string) []string {
 	before, after := byName(old, name), byName(updated, name)
 	names := make([]string, 0, len(before)+len(after))
 	for n := range before {
@@ -49,17 +49,17 @@
 	sort.Strings(names)
 	var lines []string
 	for _, n := range names {
-		b, hadIt := before[n]
-		a, hasIt := after[n]
+		b, inOld := before[n]
+		a, inUpdated := after[n]
 		switch {
-		case !hasIt:
+		case !inUpdated:
 			lines = append(lines, fmt.Sprintf("%s %s: removed", kind, n))
-		case !hadIt:
+		case !inOld:
 			lines = append(lines, fmt.Sprintf("%s %s: added", kind, n))
 			var zero T
-			lines = append(lines, changed(kind, n, zero, a)...)
+			lines = append(lines, diffFields(kind, n, zero, a)...)
 		default:
-			lines = append(lines, changed(kind, n, b, a)...)
+			lines = append(lines, diffFields(kind, n, b, a)...)
 		}
 	}
 	return lines
@@ -73,28 +73,28 @@
 	return m
 }
 
-// keyOf gives the fields of Team and Service the names of the file's keys.
-var keyOf = map[string]string{
+// fileKeyByField maps the fields of Team and Service to their keys in the file.
+var fileKeyByField = map[string]string{
 	"Weight": "weight", "MaxQueuedTasks": "max_queued_tasks", "TasksPerSecond": "tasks_per_second",
 	"Pool": "pool", "Urgency": "urgency", "Repeatable": "repeatable", "Keep": "keep",
 	"Deadline": "deadline", "FlagLate": "late_answers",
 }
 
-func changed(kind, name string, before, after any) []string {
+func diffFields(kind, name string, before, after any) []string {
 	var lines []string
 	b, a := reflect.ValueOf(before), reflect.ValueOf(after)
 	for i := range b.NumField() {
-		key := keyOf[b.Type().Field(i).Name]
+		key := fileKeyByField[b.Type().Field(i).Name]
 		if key == "" || b.Field(i).Equal(a.Field(i)) {
 			continue
 		}
-		lines = append(lines, fmt.Sprintf("%s %s: %s %s -> %s", kind, name, key, word(key, b.Field(i)), word(key, a.Field(i))))
+		lines = append(lines, fmt.Sprintf("%s %s: %s %s -> %s", kind, name, key, formatValue(key, b.Field(i)), formatValue(key, a.Field(i))))
 	}
 	return lines
 }
 
-// word returns a value as the file would say it.
-func word(key string, v reflect.Value) string {
+// formatValue returns a value as it is written in the file.
+func formatValue(key string, v reflect.Value) string {
 	switch x := v.Interface().(type) {
 	case time.Duration:
 		if x == 0 {
@@ -106,7 +106,7 @@
 	case job.Keep:
 		return x.String()
 	case bool:
-		if key != keyOf["FlagLate"] {
+		if key != fileKeyByField["FlagLate"] {
 			break
 		}
 		if x {
--- a/internal/config/model.go
+++ b/internal/config/model.go
@@ -1,5 +1,5 @@
-// Package config is the operators' declarative file: its typed form, its
-// parser with line numbers, its checks and the difference between two files.
+// Package config implements the operators' declarative file: its Go types, a parser
+// that reports line numbers, validation, and the difference between two files.
 package config
 
 import (
@@ -9,70 +9,69 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// File is one whole accepted configuration. It is never changed after it was
-// parsed, so stages share one pointer and read it without a lock.
+// File is one complete configuration. It is immutable once it is parsed, so all
+// stages share one pointer and read it without a lock.
 type File struct {
-	// Number orders configurations: a file is accepted only above the number
-	// in force.
+	// Number orders configurations: a file is accepted only if its number is
+	// higher than that of the file in effect.
 	Number   uint64
 	Teams    []Team
 	Services []Service
 	Limits   Limits
 	Targets  TargetDefaults
-	// Routes lead requests to services by host and path, where callers do not
-	// name the service.
+	// Routes select the service by host and path for requests that do not name it.
 	Routes []Route
-	// Pools, where the file lists them, are all pools that targets may announce;
-	// nil allows any.
+	// Pools lists the pools that targets may announce; nil allows any.
 	Pools []string
 }
 
-// Route leads the requests for a host and a path to a service.
+// Route maps the requests for a host and a path prefix to a service.
 type Route struct {
 	Host       string
 	PathPrefix string
 	Service    string
 }
 
-// Team is a group of callers that shares a quota.
+// Team is a group of callers that share a quota.
 type Team struct {
 	Name string
-	// Weight is the team's share of the slots when several teams wait.
+	// Weight is the team's relative share of the slots while several teams have
+	// waiting tasks.
 	Weight int
-	// MaxQueuedTasks bounds the team's waiting tasks; zero takes
+	// MaxQueuedTasks bounds the team's waiting tasks; zero means
 	// Limits.MaxQueuedTasks.
 	MaxQueuedTasks int
 	// TasksPerSecond bounds the rate at which the team's tasks are admitted;
-	// zero means no bound.
+	// zero means unlimited.
 	TasksPerSecond int
 }
 
-// Service is one kind of work that callers ask for.
+// Service is one kind of work that callers request.
 type Service struct {
 	Name string
-	// Pool names the group of targets that run the service: what a target
-	// announces as its service. By default it is the service's own name, so
-	// several services may share targets by naming one pool.
+	// Pool is the group of targets that run the service; targets announce it as
+	// their service. It defaults to the service's name. Several services share
+	// targets by naming the same pool.
 	Pool       string
 	Urgency    job.Urgency
 	Repeatable bool
 	Keep       job.Keep
-	// Deadline is the answer's default deadline; zero means none.
+	// Deadline is the default deadline for the answer; zero means none.
 	Deadline time.Duration
-	// FlagLate keeps work whose deadline has passed and flags the answer late;
-	// otherwise the submission ends at its deadline.
+	// FlagLate lets work continue past its deadline and marks the answer as late.
+	// Otherwise the submission ends at its deadline.
 	FlagLate bool
-	// Attempts is how many runs of a task may fail before its job does; zero
-	// and one mean that the first failure ends the job. Only a run that has
-	// provably ended is followed by another.
+	// Attempts is the number of failed runs of one task after which its job fails;
+	// zero counts as one. A task is run again only after its previous run has
+	// provably ended.
 	Attempts int
-	// Stretch and Slack make the latency objective: Stretch times what the
-	// longest task of the job takes, and Slack more. Zero Stretch is none.
+	// Stretch and Slack define the latency objective: Stretch times the run time of
+	// the job's longest task, plus Slack. Zero Stretch means no objective.
 	Stretch float64
 	Slack   time.Duration
 }
 
-// Limits bounds what one entry accepts.
+// Limits bounds the jobs and queues of one entry.
 type Limits struct {
 	MaxJobTasks    int
 	MaxJobBytes    int64
@@ -80,14 +79,14 @@
 	MaxQueuedBytes int64
 }
 
-// TargetDefaults holds for targets that do not announce their own.
+// TargetDefaults applies to targets that do not announce values of their own.
 type TargetDefaults struct {
 	Lease       time.Duration
 	Slots       int
 	Connections int
 }
 
-// Default limits, used where the file says nothing.
+// Defaults for keys that the file omits.
 const (
 	DefaultMaxJobTasks    = 1900
 	DefaultMaxJobBytes    = 16 << 20
@@ -111,8 +110,8 @@
 	return Service{}, false
 }
 
-// Route returns the route of a request: of those of its host the one with the
-// longest prefix of its path.
+// Route returns the route for a request: among the routes of its host, the one with
+// the longest matching path prefix.
 func (f *File) Route(host, path string) (Route, bool) {
 	best := -1
 	if f == nil {
@@ -133,8 +132,8 @@
 	return f.Routes[best], true
 }
 
-// Team returns the named team. A file that names no team serves all callers as
-// one team of weight 1 without a name.
+// Team returns the named team. If the file lists no teams, every name is accepted
+// and gets a team of weight 1 without limits of its own.
 func (f *File) Team(name string) (Team, bool) {
 	if f == nil {
 		return Team{}, false
@@ -150,12 +149,12 @@
 	return Team{}, false
 }
 
-// View gives the configuration in force; nil before the first one.
+// View provides the configuration in effect, or nil before the first one.
 type View interface {
 	Current() *File
 }
 
-// Fixed is a View of one file that never changes.
+// Fixed is a View that always returns the same file.
 type Fixed struct{ File *File }
 
 // Current returns the file.
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -13,32 +13,32 @@
 	"github.com/juju/errors"
 )
 
-// Bounds of a file before its meaning is looked at. A file comes over the
-// network, so without them one request could take all memory or overflow the
-// stack of the parser, which recurses once a nesting level.
+// Bounds checked before a file is parsed. Files come over the network, so without
+// these bounds one request could exhaust the memory or overflow the stack of the
+// parser, which recurses once per nesting level.
 const (
 	// MaxFileBytes bounds the size of a file.
 	MaxFileBytes = 1 << 20
-	// maxNesting bounds open brackets and list dashes on one line; a right file
-	// needs three.
+	// maxNesting bounds the open brackets plus the list dashes on one line; a valid
+	// file needs three.
 	maxNesting = 16
-	// maxKeys bounds the keys of one block mapping; a right file needs seven.
-	// The parser recurses once a key and takes time by their square: a file of
-	// 100,000 keys kept it busy for 23 s.
+	// maxKeys bounds the keys of one block mapping; a valid file needs seven. The
+	// parser recurses once per key and takes quadratic time: a file of 100,000
+	// keys took 23 s.
 	maxKeys = 64
-	// maxProblems bounds the report on one file.
+	// maxProblems bounds the number of problems reported for one file.
 	maxProblems = 200
 )
 
-// Digest identifies the bytes of a file: SHA-256 in hexadecimal.
+// Digest returns the SHA-256 digest of a file in hexadecimal.
 func Digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-// Parse reads and checks a whole file. name stands in the messages. Its error
-// is Problems with everything that is wrong; a wrong file gives no File, so
-// no part of it can be applied.
+// Parse parses and validates a whole file; messages refer to it by name. Its error is
+// Problems, a list of all faults found. An invalid file yields no File, so no part of
+// it can be applied.
 func Parse(name string, data []byte) (*File, error) {
 	d := &decoder{name: name}
 	tokens := d.tokens(data)
@@ -47,7 +47,7 @@
 	}
 	tree, err := parser.Parse(tokens, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		d.syntax(err)
+		d.syntaxProblem(err)
 		return nil, d.problems
 	}
 	f := &File{}
@@ -59,15 +59,15 @@
 	return f, nil
 }
 
-// tokens splits data and refuses what a declarative file has no use for.
-// Aliases are refused, so no short file can expand to a large one.
+// tokens splits data into tokens and rejects YAML features that a declarative file
+// does not need. It rejects aliases so that no short file can expand to a large one.
 func (d *decoder) tokens(data []byte) token.Tokens {
 	if len(data) > MaxFileBytes {
-		d.at(1, 1, "file of %d bytes; at most %d are allowed", len(data), MaxFileBytes)
+		d.problemAt(1, 1, "file of %d bytes; at most %d are allowed", len(data), MaxFileBytes)
 		return nil
 	}
 	if !utf8.Valid(data) {
-		d.at(1, 1, "not UTF-8 text")
+		d.problemAt(1, 1, "not UTF-8 text")
 		return nil
 	}
 	tokens := lexer.Tokenize(string(data))
@@ -79,39 +79,39 @@
 		}
 		switch t.Type {
 		case token.AnchorType, token.AliasType, token.MergeKeyType, token.TagType, token.MappingKeyType, token.DirectiveType:
-			d.token(t, "%q: anchors, aliases, tags, directives and complex keys are not allowed", t.Value)
+			d.problemAtToken(t, "%q: anchors, aliases, tags, directives and complex keys are not allowed", t.Value)
 		case token.InvalidType:
-			d.token(t, "not valid YAML: %s", t.Error)
+			d.problemAtToken(t, "not valid YAML: %s", t.Error)
 		case token.MappingStartType, token.SequenceStartType:
 			open++
 		case token.MappingEndType, token.SequenceEndType:
 			open--
 		case token.SequenceEntryType:
 			dashes++
-			forgetInner(keys, t.Position.Column)
+			dropInnerCounts(keys, t.Position.Column)
 		case token.MappingValueType:
 			if open > 0 || t.Prev == nil {
 				break
 			}
 			column := t.Prev.Position.Column
-			forgetInner(keys, column)
+			dropInnerCounts(keys, column)
 			keys[column]++
 			if keys[column] > maxKeys {
-				d.token(t.Prev, "more than %d keys in one mapping", maxKeys)
+				d.problemAtToken(t.Prev, "more than %d keys in one mapping", maxKeys)
 				return nil
 			}
 		}
 		if open+dashes > maxNesting {
-			d.token(t, "nested too deeply")
+			d.problemAtToken(t, "nested too deeply")
 			return nil
 		}
 	}
 	return tokens
 }
 
-// forgetInner drops the key counts of the mappings that are indented deeper
-// than column: a token there ends them.
-func forgetInner(keys map[int]int, column int) {
+// dropInnerCounts drops the key counts of the mappings that are indented deeper than
+// column: a token at column ends them.
+func dropInnerCounts(keys map[int]int, column int) {
 	for c := range keys {
 		if c > column {
 			delete(keys, c)
@@ -119,24 +119,24 @@
 	}
 }
 
-func (d *decoder) syntax(err error) {
+func (d *decoder) syntaxProblem(err error) {
 	var s *yaml.SyntaxError
 	if errors.As(err, &s) && s.Token != nil {
-		d.token(s.Token, "not valid YAML: %s", s.Message)
+		d.problemAtToken(s.Token, "not valid YAML: %s", s.Message)
 		return
 	}
-	d.at(1, 1, "not valid YAML: %v", err)
+	d.problemAt(1, 1, "not valid YAML: %v", err)
 }
 
-func (d *decoder) token(t *token.Token, format string, args ...any) {
+func (d *decoder) problemAtToken(t *token.Token, format string, args ...any) {
 	if t == nil || t.Position == nil {
-		d.at(1, 1, format, args...)
+		d.problemAt(1, 1, format, args...)
 		return
 	}
-	d.at(t.Position.Line, t.Position.Column, format, args...)
+	d.problemAt(t.Position.Line, t.Position.Column, format, args...)
 }
 
-func (d *decoder) at(line, column int, format string, args ...any) {
+func (d *decoder) problemAt(line, column int, format string, args ...any) {
 	if len(d.problems) >= maxProblems {
 		return
 	}
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -51,9 +51,9 @@
 	qt.Assert(t, Digest([]byte("x")) != Digest([]byte("y")), qt.IsTrue)
 }
 
-// An operator mistypes a key or a unit, or copies a block twice. If the file
-// were accepted, a quota would silently not hold; the operator must see each
-// fault with its line in one go.
+// An operator mistypes a key or a unit, or copies a block twice. If the file were
+// accepted, a quota could silently be missing. One check must report all faults, each
+// with its line.
 func TestParseReportsEveryProblemWithItsLine(t *testing.T) {
 	head := "number: 1\nservices: [{name: a}]\n"
 	cases := map[string]struct{ file, want string }{
@@ -140,8 +140,8 @@
 	qt.Assert(t, len(Diff(nil, old)) > 5, qt.IsTrue)
 }
 
-// A file comes over the network: whatever its bytes, the parser must give a
-// file or problems with places, and not panic.
+// Files come over the network: for any input, the parser must return either a file or
+// problems with positions, and must not panic.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(rightFile))
 	seeds, _ := filepath.Glob("testdata/seeds/*.yaml")
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Problem is one fault of a declarative file, with its place.
+// Problem is one fault of a declarative file, with its position.
 type Problem struct {
 	File string `json:"file" cbor:"1,keyasint"`
 	// Line and Column count from 1.
@@ -15,16 +15,15 @@
 	Message string `json:"message" cbor:"4,keyasint"`
 }
 
-// String returns the problem as compilers print theirs.
+// String returns the problem in the format of compilers: FILE:LINE:COLUMN: MESSAGE.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d:%d: %s", p.File, p.Line, p.Column, p.Message)
 }
 
-// Problems is the error of Parse: all faults of one file, in the order of their
-// places.
+// Problems is the error of Parse: all faults of one file, sorted by position.
 type Problems []Problem
 
-// Error returns one line for each problem.
+// Error returns one line per problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i := range p {
