--- a/internal/awake/awake.go
+++ b/internal/awake/awake.go
@@ -1,26 +1,26 @@
-// Package awake gives an entry a clock that never stands still, and tells it when it
-// stood still itself.
+// Package awake provides a clock that also counts the time for which the VM was suspended.
 //
-// A VM stands still when it is moved, saved or starved of its processor, and goes on as if
-// nothing had been. The steady clock goes on meanwhile or stops too, depending on how the
-// VM was stopped; what is decided by it alone may be seconds old. Timers fire late, in any
-// order with what has arrived. So whoever must know asks this clock at the moment of the
-// decision.
+// A VM is paused when it is migrated, saved or starved of its processor, and resumes without
+// notice. Depending on how the VM was paused, the monotonic clock goes on meanwhile or stops
+// too, so a decision based on it alone may rely on a state that is seconds old. Timers fire
+// late, and in any order relative to messages that arrived meanwhile. Code that depends on
+// the elapsed time therefore reads this clock at the moment of its decision.
 package awake
 
 import (
 	"time"
 )
 
-// Clock is steady time with the time added for which the VM was suspended. The zero value
-// counts no suspension. It is safe for concurrent use.
+// Clock is the monotonic clock plus the time for which the VM was suspended. The zero value
+// counts no suspension. A Clock is safe for concurrent use.
 type Clock struct {
-	// Suspended returns for how long the VM was suspended so far; nil stands for never.
+	// Suspended returns the total time for which the VM was suspended so far; nil means
+	// that no suspension is counted.
 	Suspended func() time.Duration
 }
 
-// Now returns the time by this clock. Readings of one process may be compared with each
-// other, and with nothing else.
+// Now returns the time of this clock. It may be compared only with other times of this
+// clock in the same process.
 func (c *Clock) Now() time.Time {
 	now := time.Now()
 	if c.Suspended == nil {
@@ -29,18 +29,19 @@
 	return now.Add(c.Suspended())
 }
 
-// Reading is a time of one life of a process that another one sends back to it, in
-// nanoseconds. It means something only to who made it.
+// Reading is a timestamp in nanoseconds that a process sends to another one and gets back.
+// It is meaningful only to the incarnation of the process that created it.
 type Reading int64
 
-// Ruler turns times of a clock into readings and back.
+// Ruler converts times of a clock to Readings and back.
 type Ruler struct{ zero time.Time }
 
-// NewRuler returns a ruler whose readings begin at 1: zero stands for none.
+// NewRuler returns a Ruler whose Readings start at 1 for the time zero; a Reading of 0 means
+// none.
 func NewRuler(zero time.Time) Ruler { return Ruler{zero} }
 
-// Reading returns the reading of a time.
+// Reading converts a time to a Reading.
 func (r Ruler) Reading(at time.Time) Reading { return Reading(max(at.Sub(r.zero), 0)) + 1 }
 
-// Time returns the time of a reading.
+// Time converts a Reading back to its time.
 func (r Ruler) Time(x Reading) time.Time { return r.zero.Add(time.Duration(x - 1)) }
--- a/internal/awake/awake_test.go
+++ b/internal/awake/awake_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A VM is suspended for three seconds; its steady clock does not count them. Whoever asks
-// for the time afterwards must see that they have passed.
-func TestSuspensionCounts(t *testing.T) {
+// A VM is suspended for three seconds, which its monotonic clock does not count. Clock must
+// count them.
+func TestClockCountsSuspension(t *testing.T) {
 	suspended := time.Duration(0)
 	c := Clock{Suspended: func() time.Duration { return suspended }}
 	before := c.Now()
@@ -17,14 +17,14 @@
 	qt.Assert(t, c.Now().Sub(before) >= 3*time.Second, qt.IsTrue)
 }
 
-func TestClockWithoutSuspensionIsSteadyTime(t *testing.T) {
+func TestClockWithoutSuspensionIsMonotonic(t *testing.T) {
 	var c Clock
 	before := c.Now()
 	qt.Assert(t, c.Now().Before(before), qt.IsFalse)
 }
 
 // This machine is not suspended while the test runs.
-func TestNoSuspensionIsSeenWhereThereIsNone(t *testing.T) {
+func TestSuspendedIsZeroWithoutSuspension(t *testing.T) {
 	suspended := Suspended()
 	if suspended == nil {
 		t.Log("no clock here counts suspension")
@@ -34,7 +34,7 @@
 	qt.Assert(t, suspended() < 20*time.Millisecond, qt.IsTrue, qt.Commentf("%v", suspended()))
 }
 
-func TestReadingsComeBackAsTheirTimes(t *testing.T) {
+func TestReadingsConvertBackToTheirTimes(t *testing.T) {
 	zero := time.Now()
 	r := NewRuler(zero)
 	at := zero.Add(1234567 * time.Microsecond)
--- a/internal/awake/suspended_linux.go
+++ b/internal/awake/suspended_linux.go
@@ -6,30 +6,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Suspended returns a function that says for how long the VM was suspended since the
-// call: by how much the clock that counts suspension has gained on the steady one. It
-// returns nil where the kernel has no such clock, so that only pauses on which the steady
-// clock went on are seen.
+// Suspended returns a function that reports for how long the VM was suspended since this
+// call: the difference by which CLOCK_BOOTTIME, which counts suspension, is ahead of the
+// monotonic clock. It returns nil where the kernel has no such clock; then only pauses
+// during which the monotonic clock went on are detected.
 func Suspended() func() time.Duration {
-	first, ok := sinceBoot()
+	bootAtStart, ok := bootTime()
 	if !ok {
 		return nil
 	}
-	begun := time.Now()
+	start := time.Now()
 	return func() time.Duration {
-		// The steady clock is read first: a pause between the two readings then looks
-		// like a suspension, which is safe, and passes with the next reading.
-		steady := time.Since(begun)
-		now, ok := sinceBoot()
+		// The monotonic clock is read first. A pause between reading the two clocks then
+		// looks like a suspension, which is safe and disappears with the next call.
+		monotonic := time.Since(start)
+		now, ok := bootTime()
 		if !ok {
 			return 0
 		}
-		return max(now-first-steady, 0)
+		return max(now-bootAtStart-monotonic, 0)
 	}
 }
 
-// sinceBoot reads the clock that counts suspension.
-func sinceBoot() (time.Duration, bool) {
+// bootTime returns the time since boot, including suspension.
+func bootTime() (time.Duration, bool) {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
 		return 0, false
--- a/internal/awake/suspended_other.go
+++ b/internal/awake/suspended_other.go
@@ -4,6 +4,6 @@
 
 import "time"
 
-// Suspended returns nil: where the kernel's clocks are not known, only pauses on which the
-// steady clock went on are seen.
+// Suspended returns nil on this platform: only pauses during which the monotonic clock went
+// on are detected.
 func Suspended() func() time.Duration { return nil }
