--- a/internal/bound/bound.go
+++ b/internal/bound/bound.go
@@ -1,14 +1,14 @@
-// Package bound works out how many jobs a planner could have answered in time that
-// knows every job and every run time in advance.
+// Package bound computes offline bounds on scheduling: how many jobs a planner could have
+// answered in time if it had known every job and every run time in advance.
 //
-// A figure of what was served under overload says little by itself: a pool that is
-// offered twice what it can do serves half at best. Beside the bound it tells how much
-// a better decision could still win.
+// The number of jobs served under overload says little by itself: a pool that is offered
+// twice its capacity serves half at best. Compared with the bound, it shows how much better
+// decisions could still gain.
 //
-// Three figures are given. Fluid takes work for something that can be cut at will, so no
-// plan exceeds it. Plan is one that keeps each task whole, made greedily; a better one may
-// exist, so ours may exceed it. It leaves out whatever earns little, a whole kind of jobs
-// perhaps. Even is such a plan that serves each kind alike.
+// The package computes three values. Fluid treats work as divisible at will, so no plan
+// exceeds it. Plan builds a plan greedily and keeps each task whole; a better plan may
+// exist, so a real run may exceed it. It leaves out jobs of little value, possibly a whole
+// kind of jobs. Even builds such a plan that serves all kinds alike.
 package bound
 
 import (
@@ -18,20 +18,21 @@
 	"time"
 )
 
-// Job is one job as it turned out to be.
+// Job is one job with its actual run times.
 type Job struct {
-	// Arrived is when it came, Within the time in which its answer is of full use.
+	// Arrived is the arrival time. Within is the time from then in which an answer has
+	// its full value.
 	Arrived, Within time.Duration
-	// Runs are the run times of its tasks on a target of the usual speed.
+	// Runs holds the run times of the tasks on a target of normal speed.
 	Runs []time.Duration
-	// Value is what its answer in time is worth.
+	// Value is the value of an answer in time.
 	Value float64
-	// Kind is what Even serves alike.
+	// Kind is the group of the job; Even serves all kinds alike.
 	Kind string
 }
 
-// work is the run time of all tasks together.
-func (j *Job) work() time.Duration {
+// totalRunTime returns the sum of the run times of all tasks.
+func (j *Job) totalRunTime() time.Duration {
 	var sum time.Duration
 	for _, r := range j.Runs {
 		sum += r
@@ -39,11 +40,11 @@
 	return sum
 }
 
-// density is what a second of one place earns with the job.
-func (j *Job) density() float64 { return j.Value / max(j.work().Seconds(), 1e-9) }
+// valuePerSecond returns the job's value per second of slot time.
+func (j *Job) valuePerSecond() float64 { return j.Value / max(j.totalRunTime().Seconds(), 1e-9) }
 
-// Fluid returns the value that no plan on so many places can exceed.
-func Fluid(jobs []Job, places float64) float64 {
+// Fluid returns an upper bound on the value of any plan for the given number of slots.
+func Fluid(jobs []Job, slots float64) float64 {
 	if len(jobs) == 0 {
 		return 0
 	}
@@ -52,10 +53,10 @@
 		first = min(first, jobs[i].Arrived)
 		last = max(last, jobs[i].Arrived+jobs[i].Within)
 	}
-	left := places * (last - first).Seconds()
+	left := slots * (last - first).Seconds()
 	value := 0.0
-	for _, i := range ordered(jobs, byDensity) {
-		work := jobs[i].work().Seconds()
+	for _, i := range sortedIndexes(jobs, byValuePerSecond) {
+		work := jobs[i].totalRunTime().Seconds()
 		if work >= left {
 			return value + jobs[i].Value*left/max(work, 1e-9)
 		}
@@ -65,11 +66,11 @@
 	return value
 }
 
-// Plan returns which jobs a greedy planner answers in time on so many places: the best
-// of the plans that take the jobs by what they earn, by their arrival and by their end.
-func Plan(jobs []Job, places int) (inTime []bool, value float64) {
-	for _, order := range []func(a, b *Job) int{byDensity, byArrival, byEnd} {
-		taken, v := plan(jobs, places, ordered(jobs, order))
+// Plan returns which jobs a greedy planner answers in time with the given number of slots.
+// It takes the best of three plans: by value per second, by arrival and by deadline.
+func Plan(jobs []Job, slots int) (inTime []bool, value float64) {
+	for _, order := range []func(a, b *Job) int{byValuePerSecond, byArrival, byDeadline} {
+		taken, v := greedyPlan(jobs, slots, sortedIndexes(jobs, order))
 		if v > value || inTime == nil {
 			inTime, value = taken, v
 		}
@@ -77,11 +78,11 @@
 	return inTime, value
 }
 
-func byDensity(a, b *Job) int { return cmp.Compare(b.density(), a.density()) }
-func byArrival(a, b *Job) int { return cmp.Compare(a.Arrived, b.Arrived) }
-func byEnd(a, b *Job) int     { return cmp.Compare(a.Arrived+a.Within, b.Arrived+b.Within) }
+func byValuePerSecond(a, b *Job) int { return cmp.Compare(b.valuePerSecond(), a.valuePerSecond()) }
+func byArrival(a, b *Job) int        { return cmp.Compare(a.Arrived, b.Arrived) }
+func byDeadline(a, b *Job) int       { return cmp.Compare(a.Arrived+a.Within, b.Arrived+b.Within) }
 
-func ordered(jobs []Job, compare func(a, b *Job) int) []int {
+func sortedIndexes(jobs []Job, compare func(a, b *Job) int) []int {
 	out := make([]int, len(jobs))
 	for i := range out {
 		out[i] = i
@@ -90,33 +91,33 @@
 	return out
 }
 
-// step is the grain of a plan's time: a thirtieth of the shortest usual task.
+// step is the time resolution of a plan: a thirtieth of the shortest usual task.
 const step = 2 * time.Millisecond
 
-// table counts the places that are taken in each step.
-type table struct {
-	taken  []int
-	places int
+// schedule counts the slots in use in each time step.
+type schedule struct {
+	used  []int
+	slots int
 }
 
-func tableFor(jobs []Job, places int) *table {
+func newSchedule(jobs []Job, slots int) *schedule {
 	end := time.Duration(0)
 	for i := range jobs {
 		end = max(end, jobs[i].Arrived+jobs[i].Within)
 	}
-	return &table{make([]int, end/step+2), places}
+	return &schedule{make([]int, end/step+2), slots}
 }
 
-// Even returns which part of the value of each kind a greedy planner earns that takes the
-// next job of the kind of which it has earned the least.
-func Even(jobs []Job, places int) map[string]float64 {
+// Even returns the fraction of each kind's total value that a greedy planner earns. The
+// planner always takes the next job of the kind with the lowest fraction so far.
+func Even(jobs []Job, slots int) map[string]float64 {
 	total, earned, waiting := map[string]float64{}, map[string]float64{}, map[string][]int{}
-	for _, i := range ordered(jobs, byDensity) {
+	for _, i := range sortedIndexes(jobs, byValuePerSecond) {
 		total[jobs[i].Kind] += jobs[i].Value
 		waiting[jobs[i].Kind] = append(waiting[jobs[i].Kind], i)
 	}
 	kinds := slices.Sorted(maps.Keys(total))
-	t := tableFor(jobs, places)
+	s := newSchedule(jobs, slots)
 	for {
 		next := ""
 		for _, k := range kinds {
@@ -129,7 +130,7 @@
 		}
 		i := waiting[next][0]
 		waiting[next] = waiting[next][1:]
-		if t.fit(&jobs[i]) {
+		if s.place(&jobs[i]) {
 			earned[next] += jobs[i].Value
 		}
 	}
@@ -139,11 +140,11 @@
 	return earned
 }
 
-func plan(jobs []Job, places int, order []int) (inTime []bool, value float64) {
-	t := tableFor(jobs, places)
+func greedyPlan(jobs []Job, slots int, order []int) (inTime []bool, value float64) {
+	s := newSchedule(jobs, slots)
 	inTime = make([]bool, len(jobs))
 	for _, i := range order {
-		if t.fit(&jobs[i]) {
+		if s.place(&jobs[i]) {
 			inTime[i] = true
 			value += jobs[i].Value
 		}
@@ -151,16 +152,16 @@
 	return inTime, value
 }
 
-// span is a task's place in the table.
+// span is the range of steps in which a task runs.
 type span struct{ from, to int }
 
-// fit takes places for all tasks of a job, or none.
-func (t *table) fit(j *Job) bool {
+// place allocates slots for all tasks of a job or for none, and reports whether it did.
+func (t *schedule) place(j *Job) bool {
 	runs := slices.Clone(j.Runs)
 	slices.SortFunc(runs, func(a, b time.Duration) int { return cmp.Compare(b, a) })
 	var placed []span
 	for _, run := range runs {
-		s, ok := t.earliest(int((j.Arrived+step-1)/step), int((j.Arrived+j.Within)/step), int((run+step-1)/step))
+		s, ok := t.earliestFit(int((j.Arrived+step-1)/step), int((j.Arrived+j.Within)/step), int((run+step-1)/step))
 		if !ok {
 			t.add(placed, -1)
 			return false
@@ -171,12 +172,12 @@
 	return true
 }
 
-// earliest returns the first span of n steps within [from, to) with a place left.
-func (t *table) earliest(from, to, n int) (span, bool) {
+// earliestFit returns the first span of n steps within [from, to) that has a free slot.
+func (t *schedule) earliestFit(from, to, n int) (span, bool) {
 	free := 0
-	for i := from; i < to && i < len(t.taken); i++ {
+	for i := from; i < to && i < len(t.used); i++ {
 		free++
-		if t.taken[i] >= t.places {
+		if t.used[i] >= t.slots {
 			free = 0
 		}
 		if free >= n {
@@ -186,10 +187,10 @@
 	return span{}, false
 }
 
-func (t *table) add(spans []span, by int) {
+func (t *schedule) add(spans []span, by int) {
 	for _, s := range spans {
 		for i := s.from; i < s.to; i++ {
-			t.taken[i] += by
+			t.used[i] += by
 		}
 	}
 }
--- a/internal/bound/bound_test.go
+++ b/internal/bound/bound_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-func TestBoundsOfAPoolThatHasRoom(t *testing.T) {
+func TestBoundsOfAPoolWithFreeSlots(t *testing.T) {
 	jobs := []Job{
 		{Arrived: 0, Within: 100 * ms, Runs: []time.Duration{60 * ms, 60 * ms}, Value: 1},
 		{Arrived: 50 * ms, Within: 100 * ms, Runs: []time.Duration{60 * ms}, Value: 1},
@@ -20,8 +20,8 @@
 	qt.Assert(t, Fluid(jobs, 3), qt.Equals, 2.0)
 }
 
-// Two jobs of one length come at once on one place: one can be answered in time.
-func TestPlanTakesWhatEarnsMore(t *testing.T) {
+// Two jobs of equal length arrive at once for one slot: only one can be answered in time.
+func TestPlanPrefersTheHigherValue(t *testing.T) {
 	jobs := []Job{
 		{Within: 100 * ms, Runs: []time.Duration{80 * ms}, Value: 1},
 		{Within: 100 * ms, Runs: []time.Duration{80 * ms}, Value: 3},
@@ -32,7 +32,8 @@
 	qt.Assert(t, Fluid(jobs, 1) >= value, qt.IsTrue)
 }
 
-// All tasks of a job are planned or none: a half job earns nothing and takes no place.
+// Either all tasks of a job are planned or none: a partial job has no value and must not
+// occupy slots.
 func TestPlanKeepsJobsWhole(t *testing.T) {
 	jobs := []Job{
 		{Within: 100 * ms, Runs: []time.Duration{90 * ms, 90 * ms, 90 * ms}, Value: 9},
