--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings holds the process settings of an entry, from flags and the
-// environment, checked before anything listens. What operators change while
-// the system runs stands in the declarative file instead (package config).
+// Package settings holds the process settings of an entry, which come from flags and the
+// environment and are checked before any listener starts. Settings that operators change
+// at run time are in the declarative file (package config).
 package settings
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Peer is one other entry as the settings name it.
+// Peer is one entry listed in the settings.
 type Peer struct {
 	Entry   job.EntryID
 	Zone    job.Zone
@@ -29,42 +29,44 @@
 	CallerAddr   string
 	PeerAddr     string
 	OperatorAddr string
-	// MetricsAddr is where the figures are shown as text; empty for nowhere.
+	// MetricsAddr is the address that serves metrics as text; empty disables it.
 	MetricsAddr string
-	// Peers are all entries; this one may stand among them.
+	// Peers lists all entries and may include this one.
 	Peers []Peer
 	// DataDir is the folder on a disk, or empty on a VM without one.
 	DataDir string
-	// Voters are the entries that agree on configurations.
+	// Voters lists the entries that agree on configurations.
 	Voters []job.EntryID
-	// PeerSecret proves entries to each other, OperatorToken operators to an
-	// entry. Either may be empty only where all addresses are loopback.
+	// PeerSecret authenticates entries to each other, and OperatorToken operators to
+	// an entry. The secret may be empty only if the peer addresses are loopback or
+	// TrustNetwork is set, the token only if OperatorAddr is loopback.
 	PeerSecret    []byte
 	OperatorToken string
-	// TrustNetwork says that only entries can reach the peer addresses, so that
-	// entries on other machines may do without a secret.
+	// TrustNetwork declares that only entries can reach the peer addresses, so that
+	// PeerSecret may be empty for entries on other machines too.
 	TrustNetwork bool
-	// Discover has the entry find the others through Seeds; Peers is empty then.
+	// Discover makes the entry find the others through Seeds; Peers is empty then.
 	Discover bool
-	// Seeds are peer addresses at which other entries may be asked.
+	// Seeds lists peer addresses at which other entries can be queried.
 	Seeds []string
-	// Founders are the peer addresses of the entries that form the register at
-	// the first start of a fleet that discovers itself; empty at any later one.
+	// Founders lists the peer addresses of the entries that form the register at the
+	// first start of a fleet that uses Discover; it is empty at every later start.
 	Founders []string
-	// WantVoters is how many voters a fleet that discovers itself keeps up.
+	// WantVoters is the number of voters that a fleet using Discover maintains.
 	WantVoters int
-	// RepairWithin is how soon after its successor's start a lost voter's place must be
-	// filled, since the next loss has to be borne from then on; zero where nobody says.
+	// RepairWithin is the time, from the start of a lost voter's successor, within which
+	// the voter must be replaced; from then on the fleet must tolerate the next loss. Zero
+	// means that it is not specified.
 	RepairWithin time.Duration
-	// Processors is the part of a processor that this VM has, LinkMbps the rate of its
-	// link in megabits a second; zero where they are not known.
+	// Processors is the number of processors that this VM has, which may be a fraction
+	// of one. LinkMbps is the rate of its link in megabits per second. Zero means unknown.
 	Processors float64
 	LinkMbps   float64
 }
 
-// Threads is how many threads may run at once on this VM of so many processors: as many as
-// its part of them, rounded up, or all where the part is not known. More would wake each
-// other for work that the part can't carry.
+// Threads returns how many threads may run at once if the machine has the given number of
+// processors: Processors rounded up, or all of them if Processors is unknown. More threads
+// would wake each other for work beyond the VM's share.
 func (e *Entry) Threads(processors int) int {
 	if e.Processors <= 0 {
 		return processors
@@ -72,10 +74,10 @@
 	return min(processors, int(math.Ceil(e.Processors)))
 }
 
-// maxNameBytes bounds names, since they stand in every message and event.
+// maxNameBytes bounds names, because every message and event contains them.
 const maxNameBytes = 64
 
-// ParsePeers reads NAME=ZONE@IP:PORT,... as --peers gives it.
+// ParsePeers parses the value of --peers: NAME=ZONE@IP:PORT,...
 func ParsePeers(list string) ([]Peer, error) {
 	var peers []Peer
 	seen := map[job.EntryID]bool{}
@@ -89,7 +91,7 @@
 			return nil, err
 		}
 		if seen[p.Entry] {
-			return nil, errors.Errorf("peer %q is named twice", p.Entry)
+			return nil, errors.Errorf("peer %q is listed twice", p.Entry)
 		}
 		seen[p.Entry] = true
 		peers = append(peers, p)
@@ -109,7 +111,7 @@
 	return Peer{Entry: job.EntryID(name), Zone: job.Zone(zone), Address: address}, nil
 }
 
-// ParseNames reads NAME,NAME,...
+// ParseNames parses a list of entry names: NAME,NAME,...
 func ParseNames(list string) []job.EntryID {
 	var names []job.EntryID
 	for name := range strings.SplitSeq(list, ",") {
@@ -120,7 +122,7 @@
 	return names
 }
 
-// Check returns the first setting that is wrong.
+// Check returns an error for the first invalid setting it finds.
 func (e *Entry) Check() error {
 	if e.Name == "" || len(e.Name) > maxNameBytes {
 		return errors.Errorf("--name must have 1 to %d bytes", maxNameBytes)
@@ -133,14 +135,14 @@
 			continue
 		}
 		if e.Discover && address == "" && flag == "--caller-addr" {
-			continue // an entry that only votes takes no callers
+			continue // an entry that only votes does not serve callers
 		}
 		if _, err := netip.ParseAddrPort(address); err != nil {
 			return errors.Errorf("%s: %q is not IP:PORT", flag, address)
 		}
 	}
 	if e.Processors < 0 || e.LinkMbps < 0 {
-		return errors.Errorf("--processors %g, --link-mbps %g: neither may be below 0", e.Processors, e.LinkMbps)
+		return errors.Errorf("--processors %g, --link-mbps %g: neither may be negative", e.Processors, e.LinkMbps)
 	}
 	if err := e.checkPeers(); err != nil {
 		return err
@@ -162,15 +164,15 @@
 		}
 	}
 	if len(e.Voters)%2 == 0 && len(e.Voters) > 0 {
-		return errors.Errorf("%d voters: an even number bears no more failures than one less", len(e.Voters))
+		return errors.Errorf("%d voters: an even number tolerates no more failures than one voter less", len(e.Voters))
 	}
-	if e.votes() && e.DataDir == "" {
+	if e.isVoter() && e.DataDir == "" {
 		return errors.New("a voter needs --data")
 	}
 	return nil
 }
 
-func (e *Entry) votes() bool {
+func (e *Entry) isVoter() bool {
 	for _, v := range e.Voters {
 		if v == e.Name {
 			return true
@@ -179,8 +181,8 @@
 	return false
 }
 
-// checkSecrets refuses to listen where others can reach without a secret: who
-// could pose as an entry could make a task start twice.
+// checkSecrets rejects addresses that other machines can reach without a secret. A process
+// that impersonates an entry could make a task start twice.
 func (e *Entry) checkSecrets() error {
 	if len(e.PeerSecret) == 0 && !e.TrustNetwork {
 		addresses := []string{e.PeerAddr}
@@ -188,23 +190,23 @@
 			addresses = append(addresses, p.Address)
 		}
 		for _, a := range addresses {
-			if !loopback(a) {
+			if !isLoopback(a) {
 				return errors.Errorf("%s is not loopback: set VANILLAGRADE_PEER_SECRET or VANILLAGRADE_PEER_SECRET_FILE", a)
 			}
 		}
 	}
-	if e.OperatorToken == "" && !loopback(e.OperatorAddr) {
+	if e.OperatorToken == "" && !isLoopback(e.OperatorAddr) {
 		return errors.Errorf("%s is not loopback: set VANILLAGRADE_OPERATOR_TOKEN or VANILLAGRADE_OPERATOR_TOKEN_FILE", e.OperatorAddr)
 	}
 	return nil
 }
 
-func loopback(address string) bool {
+func isLoopback(address string) bool {
 	ap, err := netip.ParseAddrPort(address)
 	return err == nil && ap.Addr().IsLoopback()
 }
 
-// Others returns the peers without this entry.
+// Others returns all peers except this entry.
 func (e *Entry) Others() []Peer {
 	var others []Peer
 	for _, p := range e.Peers {
@@ -215,8 +217,8 @@
 	return others
 }
 
-// Secret reads a secret from the environment variable name, or from the file
-// that name_FILE names. A secret is never a flag: flags stand in process lists.
+// Secret reads a secret from the environment variable name, or from the file whose path
+// is in name_FILE. Secrets are never flags, because flags are visible in process lists.
 func Secret(name string) (string, error) {
 	if value := os.Getenv(name); value != "" {
 		return value, nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,8 +12,8 @@
 	return Entry{Name: "a1", Zone: "a", CallerAddr: "127.0.0.1:1", PeerAddr: "127.0.0.1:2", OperatorAddr: "127.0.0.1:3"}
 }
 
-// An operator mistypes a flag in a unit file. The process must say in one line
-// what is wrong and not come up half configured.
+// An operator mistypes a flag in a unit file. The process must report the wrong setting
+// in one line and must not start with an incomplete configuration.
 func TestCheckNamesTheWrongSetting(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -59,8 +59,8 @@
 	}
 }
 
-// Guards against an entry with a fifth of a processor whose threads wake each other on all
-// the processors of its machine.
+// Guards against an entry with a fifth of a processor that runs threads on all processors
+// of its machine, where they wake each other.
 func TestThreadsFollowTheProcessors(t *testing.T) {
 	for _, c := range []struct {
 		part     float64
