--- a/cmd/vanillagrade/apply.go
+++ b/cmd/vanillagrade/apply.go
@@ -16,7 +16,7 @@
 type applyCmd struct {
 	operatorFlags
 	File     string `arg:"positional,required" placeholder:"FILE" help:"a declarative file, or - for standard input"`
-	ChangeID string `arg:"--change-id" help:"id of the change; give the one printed before to learn the outcome of a lost answer"`
+	ChangeID string `arg:"--change-id" help:"id of the change; if the answer of an earlier run was lost, pass its id to learn the outcome"`
 	DryRun   bool   `arg:"--dry-run" help:"only print what would change"`
 }
 
@@ -39,8 +39,8 @@
 	if c.ChangeID == "" {
 		c.ChangeID = ulid.Make().String()
 	}
-	// The id is printed before anything is sent, so that it is there when the
-	// answer is lost.
+	// The id is printed before anything is sent, so that the operator has it if
+	// the answer is lost.
 	fmt.Fprintf(stderr, "change id %s\n", c.ChangeID)
 	header := http.Header{api.HeaderChangeID: {c.ChangeID}}
 	answer, err := c.askAny(ctx, http.MethodPut, "/v1/configuration", header, body)
@@ -55,8 +55,8 @@
 	return exitOK
 }
 
-// printDiff prints what changes against the file in force on the first entry
-// that answers.
+// printDiff prints the changes relative to the file in effect on the first entry that
+// answers.
 func (c *applyCmd) printDiff(ctx context.Context, stdout io.Writer, file *config.File) {
 	var old *config.File
 	answer, err := c.askAny(ctx, http.MethodGet, "/v1/configuration", nil, nil)
--- a/cmd/vanillagrade/capacity.go
+++ b/cmd/vanillagrade/capacity.go
@@ -11,23 +11,23 @@
 	"github.com/vanillagrade/vanillagrade/platform"
 )
 
-// capacityCmd measures how costs grow and works out a size.
+// capacityCmd measures how costs grow and computes the size of a fleet.
 type capacityCmd struct {
-	Entries     int             `arg:"--entries" help:"entry VMs of all availability zones"`
+	Entries     int             `arg:"--entries" help:"number of entry VMs in all availability zones"`
 	Targets     int             `arg:"--targets"`
-	Starts      float64         `arg:"--starts" help:"task starts a second at the peak"`
+	Starts      float64         `arg:"--starts" help:"task starts per second at the peak"`
 	TasksPerJob float64         `arg:"--tasks-per-job"`
-	Changes     float64         `arg:"--changes" help:"changes of configuration a day"`
-	Leases      []time.Duration `arg:"--lease" help:"leases of targets to work out, such as 4s 32s"`
+	Changes     float64         `arg:"--changes" help:"configuration changes per day"`
+	Leases      []time.Duration `arg:"--lease" help:"more target leases to compute the size for, such as 4s 32s"`
 }
 
 func (c *capacityCmd) run(_ context.Context, stdout, stderr io.Writer) int {
 	size := capacity.TwoYears()
-	set(&size.Entries, c.Entries)
-	set(&size.Targets, c.Targets)
-	set(&size.Starts, c.Starts)
-	set(&size.TasksPerJob, c.TasksPerJob)
-	set(&size.Changes, c.Changes)
+	overrideIfGiven(&size.Entries, c.Entries)
+	overrideIfGiven(&size.Targets, c.Targets)
+	overrideIfGiven(&size.Starts, c.Starts)
+	overrideIfGiven(&size.TasksPerJob, c.TasksPerJob)
+	overrideIfGiven(&size.Changes, c.Changes)
 	slopes, err := capacity.Measure(capacity.Platform{Orders: platform.NewClient(nil).Orders, StandIn: platform.StandIn})
 	if err != nil {
 		return fail(stderr, exitFailed, err)
@@ -44,8 +44,8 @@
 	return exitOK
 }
 
-// set takes a value that was given.
-func set[T int | float64](to *T, given T) {
+// overrideIfGiven stores given in *to if it is set.
+func overrideIfGiven[T int | float64](to *T, given T) {
 	if given > 0 {
 		*to = given
 	}
--- a/cmd/vanillagrade/cgo.go
+++ b/cmd/vanillagrade/cgo.go
@@ -1,4 +1,5 @@
-// The platform meets a process at the C library, so the binary is linked to it.
+// The platform interacts with a process through the C library, so the binary links
+// against it.
 
 package main
 
--- a/cmd/vanillagrade/check.go
+++ b/cmd/vanillagrade/check.go
@@ -11,7 +11,7 @@
 	"github.com/vanillagrade/vanillagrade/platform"
 )
 
-// checkCmd checks a file offline.
+// checkCmd checks a file without contacting any entry.
 type checkCmd struct {
 	File     string `arg:"positional,required" placeholder:"FILE" help:"a declarative file, or - for standard input"`
 	Platform bool   `arg:"--platform" help:"the file is the configuration of the users' platform"`
@@ -54,7 +54,7 @@
 	return exitOK
 }
 
-// printProblems prints each error of a file on a line of its own.
+// printProblems prints each problem of a file on its own line.
 func printProblems(stderr io.Writer, err error) {
 	var problems config.Problems
 	if !errors.As(err, &problems) {
--- a/cmd/vanillagrade/demo.go
+++ b/cmd/vanillagrade/demo.go
@@ -13,21 +13,21 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// demoCmd runs a fleet and one job in this process.
+// demoCmd runs a fleet in this process and sends one job to it.
 type demoCmd struct {
-	Tasks int `arg:"--tasks" default:"12" help:"tasks of the job"`
+	Tasks int `arg:"--tasks" default:"12" help:"number of tasks of the job"`
 }
 
-// The demo's fleet: small enough to start at once on a laptop.
+// Size of the demo's fleet, small enough to start immediately on a laptop.
 const (
 	demoTargetsPerZone = 4
 	demoSlots          = 8
 	demoZones          = 3
 	demoPool           = "frame-desk"
-	demoTime           = 30 * time.Second
+	demoTimeout        = 30 * time.Second
 )
 
-// demoFile is the first file of the README.
+// demoFile is the first declarative file of the README.
 const demoFile = `number: 1
 teams:
   - {name: studio7, weight: 3, max_queued_tasks: 4000, tasks_per_second: 900}
@@ -36,7 +36,7 @@
 `
 
 func (c *demoCmd) run(ctx context.Context, stdout, stderr io.Writer) int {
-	ctx, cancel := context.WithTimeout(ctx, demoTime)
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	if err := c.demo(ctx, stdout); err != nil {
 		return fail(stderr, exitFailed, err)
@@ -58,14 +58,14 @@
 	if err := f.WaitReady(ctx, demoZones*demoTargetsPerZone*demoSlots); err != nil {
 		return errors.Trace(err)
 	}
-	fmt.Fprintln(stdout, "fleet: 3 availability zones of 2 entries and 4 stand-in targets; the first file is in force everywhere")
+	fmt.Fprintln(stdout, "fleet: 3 availability zones of 2 entries and 4 stand-in targets; the first file is in effect everywhere")
 	if err := c.runJob(ctx, stdout, f); err != nil {
 		return errors.Trace(err)
 	}
 	if err := f.Stop(); err != nil {
 		return errors.Trace(err)
 	}
-	fmt.Fprintln(stdout, "stopped: no request was cut")
+	fmt.Fprintln(stdout, "stopped: no request was interrupted")
 	return nil
 }
 
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// demoJob is a job of n tasks of 100 ms.
+// demoJob returns a job of n tasks of 100 ms each.
 func demoJob(n int) []byte {
 	body := []byte(`{"id":"demo-1","team":"studio7","service":"thumbnails","attempt":1,"tasks":[`)
 	for i := range n {
--- a/cmd/vanillagrade/drain.go
+++ b/cmd/vanillagrade/drain.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// drainCmd asks one entry for a planned stop.
+// drainCmd starts a planned stop of one entry.
 type drainCmd struct {
 	operatorFlags
 }
@@ -16,7 +16,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	if len(c.addresses()) != 1 {
-		return fail(stderr, exitUsage, fmt.Errorf("--operator must name the one entry to drain"))
+		return fail(stderr, exitUsage, fmt.Errorf("--operator must have exactly one address: that of the entry to drain"))
 	}
 	answer, err := c.ask(ctx, c.addresses()[0], http.MethodPost, "/v1/drain", nil, nil)
 	if err != nil {
--- a/cmd/vanillagrade/entry.go
+++ b/cmd/vanillagrade/entry.go
@@ -17,21 +17,21 @@
 
 // entryCmd runs an entry.
 type entryCmd struct {
-	Name         string `arg:"--name,env:VANILLAGRADE_NAME,required" help:"this entry's name, as it stands in --peers"`
+	Name         string `arg:"--name,env:VANILLAGRADE_NAME,required" help:"this entry's name, as listed in --peers"`
 	AZ           string `arg:"--az,env:VANILLAGRADE_AZ,required" placeholder:"ZONE" help:"this entry's availability zone"`
-	CallerAddr   string `arg:"--caller-addr,env:VANILLAGRADE_CALLER_ADDR,required" placeholder:"IP:PORT" help:"where callers and targets come"`
-	PeerAddr     string `arg:"--peer-addr,env:VANILLAGRADE_PEER_ADDR,required" placeholder:"IP:PORT" help:"where other entries come"`
-	OperatorAddr string `arg:"--operator-addr,env:VANILLAGRADE_OPERATOR_ADDR,required" placeholder:"IP:PORT" help:"where operators come"`
-	MetricsAddr  string `arg:"--metrics-addr,env:VANILLAGRADE_METRICS_ADDR" placeholder:"IP:PORT" help:"where figures are shown as text, at /metrics"`
-	Peers        string `arg:"--peers,env:VANILLAGRADE_PEERS" placeholder:"NAME=ZONE@IP:PORT,..." help:"all entries by their peer addresses"`
-	Data         string `arg:"--data,env:VANILLAGRADE_DATA" placeholder:"DIR" help:"folder on a disk, on VMs that have one"`
+	CallerAddr   string `arg:"--caller-addr,env:VANILLAGRADE_CALLER_ADDR,required" placeholder:"IP:PORT" help:"address to serve callers and targets on"`
+	PeerAddr     string `arg:"--peer-addr,env:VANILLAGRADE_PEER_ADDR,required" placeholder:"IP:PORT" help:"address to serve other entries on"`
+	OperatorAddr string `arg:"--operator-addr,env:VANILLAGRADE_OPERATOR_ADDR,required" placeholder:"IP:PORT" help:"address to serve operators on"`
+	MetricsAddr  string `arg:"--metrics-addr,env:VANILLAGRADE_METRICS_ADDR" placeholder:"IP:PORT" help:"address to serve metrics as text on, at /metrics"`
+	Peers        string `arg:"--peers,env:VANILLAGRADE_PEERS" placeholder:"NAME=ZONE@IP:PORT,..." help:"all entries with their peer addresses"`
+	Data         string `arg:"--data,env:VANILLAGRADE_DATA" placeholder:"DIR" help:"data folder on a disk, on VMs that have one"`
 	Voters       string `arg:"--voters,env:VANILLAGRADE_VOTERS" placeholder:"NAME,..." help:"the entries with a disk that agree on configurations"`
 
-	Processors float64 `arg:"--processors,env:VANILLAGRADE_PROCESSORS" placeholder:"N" help:"processors of this VM that the entry may use, parts of one too; bounds how many targets it holds"`
-	LinkMbps   float64 `arg:"--link-mbps,env:VANILLAGRADE_LINK_MBPS" placeholder:"N" help:"rate of this VM's link in megabits a second; bounds how many targets it holds"`
+	Processors float64 `arg:"--processors,env:VANILLAGRADE_PROCESSORS" placeholder:"N" help:"number of processors of this VM that the entry may use, possibly a fraction; bounds how many targets it holds"`
+	LinkMbps   float64 `arg:"--link-mbps,env:VANILLAGRADE_LINK_MBPS" placeholder:"N" help:"rate of this VM's link in megabits per second; bounds how many targets it holds"`
 }
 
-// settings returns the checked settings.
+// settings returns the settings after checking them.
 func (c *entryCmd) settings() (*settings.Entry, error) {
 	s := &settings.Entry{
 		Name:         job.EntryID(c.Name),
@@ -67,7 +67,7 @@
 	if err != nil {
 		return fail(stderr, exitUsage, err)
 	}
-	lines := logTo(ctx, stdout)
+	lines := setLimitedLog(ctx, stdout)
 	defer lines.Close()
 	options := entry.Options{Settings: *s, Log: slog.Default(), LogEvents: true}
 	if s.MetricsAddr != "" {
@@ -76,8 +76,8 @@
 			return fail(stderr, exitUsage, errors.Annotate(err, "--metrics-addr"))
 		}
 		options.Attach = func(e *entry.Entry) []entry.Attached {
-			figures := &http.Server{Handler: e.Metrics(lines.Dropped), ReadHeaderTimeout: metricsHeaderTime}
-			return []entry.Attached{{Listener: l, Server: figures}}
+			metricsServer := &http.Server{Handler: e.Metrics(lines.Dropped), ReadHeaderTimeout: metricsHeaderTimeout}
+			return []entry.Attached{{Listener: l, Server: metricsServer}}
 		}
 	}
 	e, err := entry.New(options)
@@ -90,5 +90,5 @@
 	return exitOK
 }
 
-// metricsHeaderTime bounds how long the header of a request for figures may take.
-const metricsHeaderTime = 5 * time.Second
+// metricsHeaderTimeout bounds the time for reading the headers of a request for metrics.
+const metricsHeaderTimeout = 5 * time.Second
--- a/cmd/vanillagrade/entry_test.go
+++ b/cmd/vanillagrade/entry_test.go
@@ -15,7 +15,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/fleet"
 )
 
-// output is what a command has written so far.
+// output collects what a command writes; it is safe for concurrent use.
 type output struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -33,7 +33,7 @@
 	return o.buffer.String()
 }
 
-// freeAddress returns an address that nobody listens at.
+// freeAddress returns an address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	l, err := fleet.Listen()
 	qt.Assert(t, err, qt.IsNil)
@@ -41,27 +41,27 @@
 	return l.Addr().String()
 }
 
-// eventually waits until the condition holds.
+// eventually waits until a condition holds, and fails the test after conditionTimeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(untilTime); !holds(); {
+	for deadline := time.Now().Add(conditionTimeout); !holds(); {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s has not come about", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Guards against an entry whose refusals leave no line and no figure.
-func TestEntryLogsItsDecisionsAndShowsFigures(t *testing.T) {
-	caller, figures := freeAddress(t), freeAddress(t)
+// Guards against an entry whose refusals appear neither in the log nor in the metrics.
+func TestEntryLogsDecisionsAndServesMetrics(t *testing.T) {
+	caller, metricsAddress := freeAddress(t), freeAddress(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	var stdout, stderr output
 	ended := make(chan int, 1)
 	go func() {
 		ended <- runMain(ctx, []string{
 			"entry", "--name", "a1", "--az", "a", "--caller-addr", caller, "--peer-addr", freeAddress(t),
-			"--operator-addr", freeAddress(t), "--metrics-addr", figures,
+			"--operator-addr", freeAddress(t), "--metrics-addr", metricsAddress,
 		}, &stdout, &stderr)
 	}()
 	eventually(t, "a refusal", func() bool {
@@ -72,10 +72,10 @@
 		defer resp.Body.Close()
 		return resp.StatusCode == http.StatusServiceUnavailable
 	})
-	eventually(t, "the line of the refusal", func() bool {
+	eventually(t, "the log line of the refusal", func() bool {
 		return strings.Contains(stdout.String(), `"msg":"submission_answered"`) && strings.Contains(stdout.String(), `"request":"early"`)
 	})
-	resp, err := http.Get("http://" + figures + "/metrics")
+	resp, err := http.Get("http://" + metricsAddress + "/metrics")
 	qt.Assert(t, err, qt.IsNil)
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
@@ -86,7 +86,7 @@
 	qt.Check(t, stderr.String(), qt.Equals, "")
 }
 
-// Guards against a wrong metrics address that shows only after the start.
+// Guards against an invalid metrics address that is reported only after the start.
 func TestWrongMetricsAddressIsRefused(t *testing.T) {
 	var stdout, stderr output
 	code := runMain(t.Context(), []string{
--- a/cmd/vanillagrade/explain.go
+++ b/cmd/vanillagrade/explain.go
@@ -10,11 +10,11 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// explainCmd tells the story of one submission.
+// explainCmd explains what happened to one submission.
 type explainCmd struct {
 	operatorFlags
 	ID   string `arg:"positional,required" placeholder:"ID" help:"the submission's id"`
-	JSON bool   `arg:"--json" help:"the story as JSON"`
+	JSON bool   `arg:"--json" help:"print the explanation as JSON"`
 }
 
 func (c *explainCmd) run(ctx context.Context, stdout, stderr io.Writer) int {
@@ -22,7 +22,7 @@
 	if err != nil {
 		return fail(stderr, exitFailed, err)
 	}
-	fleet, err := readTimeline(ctx, &c.operatorFlags, contextQuery())
+	fleet, err := readTimeline(ctx, &c.operatorFlags, contextEventsQuery())
 	if err != nil {
 		return fail(stderr, exitFailed, err)
 	}
@@ -43,9 +43,9 @@
 	return exitOK
 }
 
-// contextQuery asks for what the story of a submission may refer to beside its own
-// events.
-func contextQuery() url.Values {
+// contextEventsQuery selects the events to which the explanation of a submission may
+// refer in addition to the submission's own events.
+func contextEventsQuery() url.Values {
 	q := url.Values{}
 	for _, kind := range timeline.ContextKinds() {
 		q.Add("kind", string(kind))
--- a/cmd/vanillagrade/golden_test.go
+++ b/cmd/vanillagrade/golden_test.go
@@ -11,26 +11,26 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// TestMain lets the sessions run the real commands: each is this test binary
+// TestMain lets the sessions run the real commands: each command is this test binary
 // under another name.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){"vanillagrade": main, "normal": normal})
 }
 
-// TestGolden runs whole sessions of real processes on loopback and compares
-// what they print with what stands in the session's file. Run it with -update
-// to write the files anew, and read the difference before committing it.
+// TestGolden runs whole sessions of real processes on loopback and compares their output
+// with the session's file. Set UPDATE_GOLDEN to rewrite the files, and review the
+// difference before committing it.
 func TestGolden(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:                 "testdata/script",
-		Setup:               func(env *testscript.Env) error { env.Values[stageKey{}] = newStage(); return nil },
-		Cmds:                stageCommands,
+		Setup:               func(env *testscript.Env) error { env.Values[sessionFleetKey{}] = newSessionFleet(); return nil },
+		Cmds:                sessionCommands,
 		UpdateScripts:       os.Getenv("UPDATE_GOLDEN") != "",
 		RequireExplicitExec: true,
 	})
 }
 
-// normalForms replaces what differs from run to run.
+// normalForms replaces text that differs from run to run.
 var normalForms = []struct {
 	pattern *regexp.Regexp
 	form    string
@@ -49,7 +49,7 @@
 	{regexp.MustCompile(`"digest":"[0-9a-f]+"`), `"digest":"D"`},
 }
 
-// normal copies standard input to standard output in the normal form.
+// normal copies standard input to standard output with normalForms applied.
 func normal() {
 	if err := normalise(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/cmd/vanillagrade/wire_test.go
+++ b/cmd/vanillagrade/link_test.go
@@ -8,8 +8,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// wire is the cable from one entry to another: a relay that can be cut.
-type wire struct {
+// link is the network link from one entry to another: a TCP relay that can be broken.
+type link struct {
 	listener net.Listener
 	to       string
 
@@ -18,18 +18,18 @@
 	conns map[net.Conn]bool
 }
 
-func newWire(ts *testscript.TestScript, to string) *wire {
+func newLink(ts *testscript.TestScript, to string) *link {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	ts.Check(err)
-	w := &wire{listener: l, to: to, conns: map[net.Conn]bool{}}
+	w := &link{listener: l, to: to, conns: map[net.Conn]bool{}}
 	go w.run()
-	ts.Defer(func() { _ = l.Close(); w.set(true) })
+	ts.Defer(func() { _ = l.Close(); w.setDown(true) })
 	return w
 }
 
-func (w *wire) address() string { return w.listener.Addr().String() }
+func (w *link) address() string { return w.listener.Addr().String() }
 
-func (w *wire) run() {
+func (w *link) run() {
 	for {
 		in, err := w.listener.Accept()
 		if err != nil {
@@ -39,9 +39,9 @@
 	}
 }
 
-func (w *wire) relay(in net.Conn) {
+func (w *link) relay(in net.Conn) {
 	out, err := net.Dial("tcp", w.to)
-	if err != nil || !w.add(in, out) {
+	if err != nil || !w.addConns(in, out) {
 		_ = in.Close()
 		if err == nil {
 			_ = out.Close()
@@ -52,12 +52,12 @@
 	w.copy(out, in)
 }
 
-func (w *wire) copy(to, from net.Conn) {
+func (w *link) copy(to, from net.Conn) {
 	_, _ = io.Copy(to, from)
-	w.drop(to, from)
+	w.closeConns(to, from)
 }
 
-func (w *wire) add(conns ...net.Conn) bool {
+func (w *link) addConns(conns ...net.Conn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range conns {
@@ -66,7 +66,7 @@
 	return !w.down
 }
 
-func (w *wire) drop(conns ...net.Conn) {
+func (w *link) closeConns(conns ...net.Conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range conns {
@@ -75,7 +75,7 @@
 	}
 }
 
-func (w *wire) set(down bool) {
+func (w *link) setDown(down bool) {
 	w.mu.Lock()
 	w.down = down
 	var conns []net.Conn
@@ -85,5 +85,5 @@
 		}
 	}
 	w.mu.Unlock()
-	w.drop(conns...)
+	w.closeConns(conns...)
 }
--- a/cmd/vanillagrade/load.go
+++ b/cmd/vanillagrade/load.go
@@ -15,19 +15,19 @@
 	"github.com/vanillagrade/vanillagrade/internal/trial"
 )
 
-// loadCmd sends open-loop load and prints what it measured.
+// loadCmd sends open-loop load and prints the measurements.
 type loadCmd struct {
-	File      string        `arg:"positional,required" placeholder:"FILE" help:"a mix of load, such as examples/cuenca.yaml"`
-	Entries   string        `arg:"--entry,env:VANILLAGRADE_ENTRY" default:"127.0.0.1:7001" placeholder:"IP:PORT,..." help:"caller addresses that jobs are spread over"`
-	Operator  string        `arg:"--operator,env:VANILLAGRADE_OPERATOR" placeholder:"IP:PORT,..." help:"operators' addresses, to count messages between entries"`
+	File      string        `arg:"positional,required" placeholder:"FILE" help:"a load mix, such as examples/cuenca.yaml"`
+	Entries   string        `arg:"--entry,env:VANILLAGRADE_ENTRY" default:"127.0.0.1:7001" placeholder:"IP:PORT,..." help:"caller addresses over which jobs are distributed"`
+	Operator  string        `arg:"--operator,env:VANILLAGRADE_OPERATOR" placeholder:"IP:PORT,..." help:"operators' addresses of entries, to count messages between them"`
 	Targets   string        `arg:"--targets" placeholder:"IP:PORT,..." help:"stand-in targets, to count doubled starts"`
 	Remote    bool          `arg:"--allow-remote" help:"send load to addresses other than loopback"`
 	Load      float64       `arg:"--load" help:"multiply the mix's rates, such as 2 for twice the load"`
-	Duration  time.Duration `arg:"--duration" help:"in place of the mix's duration"`
+	Duration  time.Duration `arg:"--duration" help:"overrides the mix's duration"`
 	JSON      bool          `arg:"--json"`
 	Plot      string        `arg:"--plot" placeholder:"FILE" help:"draw stretch by service into an SVG file"`
-	Fleet     bool          `arg:"--fleet" help:"start a fleet as the mix describes it in this process, instead of calling entries"`
-	Baselines bool          `arg:"--baselines" help:"with --fleet: repeat the load against plainer policies and print ratios"`
+	Fleet     bool          `arg:"--fleet" help:"start the fleet that the mix describes in this process, instead of calling entries"`
+	Baselines bool          `arg:"--baselines" help:"with --fleet: repeat the load with simpler policies and print ratios"`
 }
 
 func (c *loadCmd) run(ctx context.Context, stdout, stderr io.Writer) int {
@@ -79,7 +79,7 @@
 	return []load.Report{report}, err
 }
 
-// trial measures the policies in this process, ours first.
+// trial measures the policies in this process, this project's policy first.
 func (c *loadCmd) trial(ctx context.Context, spec load.Spec) ([]load.Report, error) {
 	policies := []trial.Policy{trial.Ours()}
 	if c.Baselines {
--- a/cmd/vanillagrade/main.go
+++ b/cmd/vanillagrade/main.go
@@ -1,5 +1,5 @@
-// Command vanillagrade is every process of the dispatcher in one binary: the
-// entry daemon, the stand-in target and the commands of operators and callers.
+// Command vanillagrade contains all processes of the dispatcher in one binary: the
+// entry daemon, the stand-in target, and the commands for operators and callers.
 package main
 
 import (
@@ -20,10 +20,10 @@
 // Exit codes of every subcommand.
 const (
 	exitOK = 0
-	// exitFailed says that the command did what was asked and the outcome is
-	// bad: a job that failed, a file with errors, a fleet that is not healthy.
+	// exitFailed means that the command ran and the outcome is bad: a failed job,
+	// a file with errors, an unhealthy fleet.
 	exitFailed = 1
-	// exitUsage says that a setting is wrong and nothing was done.
+	// exitUsage means that a setting is invalid and nothing was done.
 	exitUsage = 2
 )
 
@@ -32,26 +32,26 @@
 	run(ctx context.Context, stdout, stderr io.Writer) int
 }
 
-// arguments lists the subcommands; each stands in a file of its own.
+// arguments lists the subcommands. Each is defined in its own file.
 type arguments struct {
 	Entry    *entryCmd        `arg:"subcommand:entry" help:"run an entry: the daemon on each entry VM"`
-	Platform *platformCmd     `arg:"subcommand:platform" help:"run an entry on the users' platform, by its settings file"`
+	Platform *platformCmd     `arg:"subcommand:platform" help:"run an entry on the users' platform, configured by its settings file"`
 	Target   *targetCmd       `arg:"subcommand:target" help:"run a stand-in target, for trials and tests"`
 	Check    *checkCmd        `arg:"subcommand:check" help:"check a declarative file offline"`
 	Apply    *applyCmd        `arg:"subcommand:apply" help:"apply a declarative file as a whole"`
-	Drain    *drainCmd        `arg:"subcommand:drain" help:"begin a planned stop of one entry"`
-	Replace  *replaceVoterCmd `arg:"subcommand:replace-voter" help:"give a lost voter's place to another disk"`
+	Drain    *drainCmd        `arg:"subcommand:drain" help:"start a planned stop of one entry"`
+	Replace  *replaceVoterCmd `arg:"subcommand:replace-voter" help:"replace a lost voter with an entry that has an empty data folder"`
 	Submit   *submitCmd       `arg:"subcommand:submit" help:"send a job and print its answer"`
-	Demo     *demoCmd         `arg:"subcommand:demo" help:"run a whole fleet in this process and one job through it"`
-	Status   *statusCmd       `arg:"subcommand:status" help:"print what entries say of themselves and of the fleet"`
-	Timeline *timelineCmd     `arg:"subcommand:timeline" help:"print the events of all entries in their order"`
-	Explain  *explainCmd      `arg:"subcommand:explain" help:"tell why a submission ended as it did"`
+	Demo     *demoCmd         `arg:"subcommand:demo" help:"run a whole fleet in this process and send one job to it"`
+	Status   *statusCmd       `arg:"subcommand:status" help:"print the status of entries and their view of the fleet"`
+	Timeline *timelineCmd     `arg:"subcommand:timeline" help:"print the events of all entries in order"`
+	Explain  *explainCmd      `arg:"subcommand:explain" help:"explain why a submission ended as it did"`
 	Load     *loadCmd         `arg:"subcommand:load" help:"send open-loop load and measure the answers"`
-	Capacity *capacityCmd     `arg:"subcommand:capacity" help:"measure how costs grow and work out a size"`
+	Capacity *capacityCmd     `arg:"subcommand:capacity" help:"measure how costs grow and compute the size of a fleet"`
 	LogLevel string           `arg:"--log-level,env:VANILLAGRADE_LOG_LEVEL" default:"info" help:"debug, info, warn or error"`
 }
 
-// Description is printed above the usage.
+// Description returns the text printed above the usage.
 func (arguments) Description() string {
 	return "vanillagrade dispatches sub-second tasks: each task starts at most once, each answer is whole or a clear failure."
 }
@@ -68,7 +68,7 @@
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "vanillagrade"}, &parsed)
 	if err != nil {
-		panic(err) // the argument structs are wrong: a broken invariant
+		panic(err) // the argument structs are invalid: a programming error
 	}
 	switch err := parser.Parse(args); {
 	case errors.Is(err, arg.ErrHelp):
@@ -90,7 +90,7 @@
 	return c.run(ctx, stdout, stderr)
 }
 
-// setLog makes JSON lines on standard error the process's log.
+// setLog makes the process log JSON lines to stderr at the given level.
 func setLog(level string, stderr io.Writer) error {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
@@ -100,9 +100,10 @@
 	return nil
 }
 
-// logTo makes JSON lines to out the process's log, at the level set before: within the
-// budget of lines, and never waiting for their reader. The caller closes the writer.
-func logTo(ctx context.Context, out io.Writer) *eventlog.Writer {
+// setLimitedLog makes the process log JSON lines to out, at the level set before. The
+// number of lines is limited, and logging never blocks on a slow reader. The caller closes
+// the returned writer.
+func setLimitedLog(ctx context.Context, out io.Writer) *eventlog.Writer {
 	level := slog.LevelError
 	for _, l := range []slog.Level{slog.LevelWarn, slog.LevelInfo, slog.LevelDebug} {
 		if slog.Default().Enabled(ctx, l) {
@@ -114,7 +115,7 @@
 	return lines
 }
 
-// fail prints one line and returns code.
+// fail prints err on one line and returns code.
 func fail(stderr io.Writer, code int, err error) int {
 	fmt.Fprintln(stderr, "vanillagrade:", err)
 	return code
--- a/cmd/vanillagrade/operator.go
+++ b/cmd/vanillagrade/operator.go
@@ -13,10 +13,10 @@
 	"github.com/vanillagrade/vanillagrade/internal/settings"
 )
 
-// operatorFlags is how the operators' commands reach entries.
+// operatorFlags holds the flags with which operators' commands reach entries.
 type operatorFlags struct {
 	Operator  string        `arg:"--operator,env:VANILLAGRADE_OPERATOR" default:"127.0.0.1:7201" placeholder:"IP:PORT,..." help:"operators' addresses of entries, tried in turn"`
-	TokenFile string        `arg:"--token-file" help:"file with the bearer token; else VANILLAGRADE_OPERATOR_TOKEN"`
+	TokenFile string        `arg:"--token-file" help:"file with the bearer token; if not given, the token is read from VANILLAGRADE_OPERATOR_TOKEN"`
 	Timeout   time.Duration `arg:"--timeout" default:"15s"`
 }
 
@@ -29,17 +29,17 @@
 	return strings.TrimSpace(string(content)), err
 }
 
-// addresses returns the operators' addresses in the order given.
+// addresses returns the operators' addresses of the entries in the given order.
 func (f *operatorFlags) addresses() []string { return strings.Split(f.Operator, ",") }
 
-// operatorAnswer is the whole answer of one entry.
+// operatorAnswer is the complete answer of one entry.
 type operatorAnswer struct {
 	status int
 	body   []byte
 }
 
-// ask sends one request to one entry. Every request to operators' addresses is
-// idempotent: reads are, and a change carries its id.
+// ask sends one request to one entry. All requests to operators' addresses are
+// idempotent, since each change carries an id.
 func (f *operatorFlags) ask(ctx context.Context, address, method, path string, header http.Header, body []byte) (operatorAnswer, error) {
 	token, err := f.token()
 	if err != nil {
@@ -64,15 +64,15 @@
 	return operatorAnswer{status: response.StatusCode, body: answer}, errors.Trace(err)
 }
 
-// askAny asks the entries in turn until one answers.
+// askAny sends the request to one entry after the other until one answers.
 func (f *operatorFlags) askAny(ctx context.Context, method, path string, header http.Header, body []byte) (operatorAnswer, error) {
-	var last error
+	var lastErr error
 	for _, address := range f.addresses() {
 		answer, err := f.ask(ctx, address, method, path, header, body)
 		if err == nil {
 			return answer, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return operatorAnswer{}, last
+	return operatorAnswer{}, lastErr
 }
--- a/cmd/vanillagrade/platform.go
+++ b/cmd/vanillagrade/platform.go
@@ -19,35 +19,35 @@
 	"github.com/vanillagrade/vanillagrade/platform"
 )
 
-// platformCmd runs an entry on the users' platform, by the platform's own
+// platformCmd runs an entry on the users' platform, configured by the platform's
 // settings file.
 type platformCmd struct{}
 
-// reloadEvery is how often the settings file is looked at: it may change without
-// a signal.
-const reloadEvery = 2 * time.Second
+// reloadInterval is how often the settings file is read again, because it may change
+// without a signal.
+const reloadInterval = 2 * time.Second
 
 func (c *platformCmd) run(ctx context.Context, stdout, stderr io.Writer) int {
-	lines := logTo(ctx, stdout)
+	lines := setLimitedLog(ctx, stdout)
 	defer lines.Close()
 	s, err := platform.ReadSettings()
 	if err != nil {
 		printProblems(stderr, err)
 		return exitUsage
 	}
-	seeds := newSeeds(s)
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
-	go seeds.follow(ctx, hangups)
+	seeds := newSeedList(s)
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
+	defer signal.Stop(sighups)
+	go seeds.follow(ctx, sighups)
 	options, err := platform.Options(s, seeds.list, lines.Dropped, slog.Default())
 	if err != nil {
 		return fail(stderr, exitUsage, err)
 	}
 	runtime.GOMAXPROCS(options.Settings.Threads(runtime.GOMAXPROCS(0)))
-	last := discovery.LastLife(ctx, seeds.list(), nil, options.Settings.Name)
+	lastIncarnation := discovery.LastLife(ctx, seeds.list(), nil, options.Settings.Name)
 	options.Suspended = awake.Suspended()
-	options.Incarnation = max(job.Incarnation(time.Now().UnixNano()), last+1)
+	options.Incarnation = max(job.Incarnation(time.Now().UnixNano()), lastIncarnation+1)
 	e, err := entry.New(options)
 	if err != nil {
 		return fail(stderr, exitUsage, err)
@@ -58,29 +58,29 @@
 	return exitOK
 }
 
-// seeds are the peer addresses of the settings file as it stands now.
-type seeds struct{ current atomic.Pointer[[]string] }
+// seedList holds the peer addresses that the settings file currently contains.
+type seedList struct{ current atomic.Pointer[[]string] }
 
-func newSeeds(s *platform.Settings) *seeds {
-	var out seeds
+func newSeedList(s *platform.Settings) *seedList {
+	var out seedList
 	first := s.PeerSeeds()
 	out.current.Store(&first)
 	return &out
 }
 
-func (s *seeds) list() []string { return slices.Clone(*s.current.Load()) }
+func (s *seedList) list() []string { return slices.Clone(*s.current.Load()) }
 
-// follow reads the settings file at each hangup signal, and from time to time,
-// until ctx ends. A file that can't be read leaves the seeds as they are.
-func (s *seeds) follow(ctx context.Context, hangups <-chan os.Signal) {
-	tick := time.NewTicker(reloadEvery)
+// follow reads the settings file at each hangup signal and every reloadInterval until
+// ctx ends. If the file can't be read, the seeds stay unchanged.
+func (s *seedList) follow(ctx context.Context, sighups <-chan os.Signal) {
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	for {
 		cause := "the file changed"
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-sighups:
 			cause = "hangup signal"
 		case <-tick.C:
 		}
--- a/cmd/vanillagrade/replacevoter.go
+++ b/cmd/vanillagrade/replacevoter.go
@@ -8,7 +8,7 @@
 	"net/url"
 )
 
-// replaceVoterCmd gives a lost voter's place to another disk.
+// replaceVoterCmd replaces a lost voter with an entry that has an empty data folder.
 type replaceVoterCmd struct {
 	operatorFlags
 	Old string `arg:"positional,required" placeholder:"OLD" help:"the voter whose VM or disk is lost"`
@@ -21,12 +21,12 @@
 	path := "/v1/voters/" + url.PathEscape(c.Old) + "/replace/" + url.PathEscape(c.New)
 	answer, err := c.askAny(ctx, http.MethodPost, path, nil, nil)
 	if err != nil {
-		return fail(stderr, exitFailed, fmt.Errorf("no entry answered; run it again, it is safe: %w", err))
+		return fail(stderr, exitFailed, fmt.Errorf("no entry answered; it is safe to run the command again: %w", err))
 	}
 	if answer.status != http.StatusNoContent {
 		fmt.Fprintf(stderr, "not replaced: %s\n", answer.body)
 		return exitFailed
 	}
-	fmt.Fprintf(stdout, "replaced: %s votes in the place of %s, and a majority holds everything\n", c.New, c.Old)
+	fmt.Fprintf(stdout, "replaced: %s votes in the place of %s, and a majority of the voters has the whole state\n", c.New, c.Old)
 	return exitOK
 }
--- a/cmd/vanillagrade/stage_test.go
+++ b/cmd/vanillagrade/session_test.go
@@ -22,26 +22,26 @@
 	"github.com/vanillagrade/vanillagrade/internal/standin"
 )
 
-// untilTime bounds how long a session waits for something to come about. It is
-// far above what it takes, so that a busy machine doesn't change the verdict.
-const untilTime = 60 * time.Second
+// conditionTimeout bounds how long a session waits for a condition. It is far longer than
+// needed, so that a busy machine doesn't change the result.
+const conditionTimeout = 60 * time.Second
 
-type stageKey struct{}
+type sessionFleetKey struct{}
 
-// stage is the fleet of one session: entry processes, stand-in targets in the
-// test's own process, and the wires between the entries.
-type stage struct {
+// sessionFleet is the fleet of one session: entry processes, stand-in targets in the test's
+// own process, and the links between the entries.
+type sessionFleet struct {
 	names   []string
 	zones   map[string]string
 	voters  string
 	ports   map[string]*entryPorts
-	wires   map[[2]string]*wire
+	links   map[[2]string]*link
 	running map[string]*process
 	ledger  *standin.Ledger
 	targets map[string]func()
-	// released is closed when held tasks may end.
-	released  chan struct{}
-	letGoOnce sync.Once
+	// released is closed to let the tasks of held targets end.
+	released    chan struct{}
+	releaseOnce sync.Once
 }
 
 type entryPorts struct{ caller, peer, operator string }
@@ -52,42 +52,42 @@
 	stderr *bytes.Buffer
 }
 
-func newStage() *stage {
-	return &stage{
-		zones: map[string]string{}, ports: map[string]*entryPorts{}, wires: map[[2]string]*wire{},
+func newSessionFleet() *sessionFleet {
+	return &sessionFleet{
+		zones: map[string]string{}, ports: map[string]*entryPorts{}, links: map[[2]string]*link{},
 		running: map[string]*process{}, ledger: standin.NewLedger(), targets: map[string]func(){},
 		released: make(chan struct{}),
 	}
 }
 
-// stageCommands are what sessions may use beside testscript's own commands.
-var stageCommands = map[string]func(ts *testscript.TestScript, neg bool, args []string){
-	"fleet":     withStage((*stage).fleet),
-	"entry":     withStage((*stage).entry),
-	"crash":     withStage((*stage).crash),
-	"terminate": withStage((*stage).terminate),
-	"ended":     withStage((*stage).ended),
-	"target":    withStage((*stage).target),
-	"leave":     withStage((*stage).leave),
-	"release":   withStage((*stage).release),
-	"cut":       withStage((*stage).cut),
-	"heal":      withStage((*stage).heal),
-	"starts":    withStage((*stage).starts),
-	"until":     withStage((*stage).until),
+// sessionCommands are the commands of sessions in addition to those of testscript.
+var sessionCommands = map[string]func(ts *testscript.TestScript, neg bool, args []string){
+	"fleet":     withSessionFleet((*sessionFleet).fleet),
+	"entry":     withSessionFleet((*sessionFleet).entry),
+	"crash":     withSessionFleet((*sessionFleet).crash),
+	"terminate": withSessionFleet((*sessionFleet).terminate),
+	"ended":     withSessionFleet((*sessionFleet).ended),
+	"target":    withSessionFleet((*sessionFleet).target),
+	"leave":     withSessionFleet((*sessionFleet).leave),
+	"release":   withSessionFleet((*sessionFleet).release),
+	"cut":       withSessionFleet((*sessionFleet).cut),
+	"heal":      withSessionFleet((*sessionFleet).heal),
+	"starts":    withSessionFleet((*sessionFleet).starts),
+	"until":     withSessionFleet((*sessionFleet).until),
 }
 
-func withStage(f func(*stage, *testscript.TestScript, []string)) func(*testscript.TestScript, bool, []string) {
+func withSessionFleet(f func(*sessionFleet, *testscript.TestScript, []string)) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		if neg {
 			ts.Fatalf("this command can't be negated")
 		}
-		f(ts.Value(stageKey{}).(*stage), ts, args)
+		f(ts.Value(sessionFleetKey{}).(*sessionFleet), ts, args)
 	}
 }
 
 // fleet NAME=ZONE... [voters=NAME,...] chooses ports and sets $NAME_CALLER and
 // $NAME_OPERATOR, and $CALLERS and $OPERATORS with all of them.
-func (s *stage) fleet(ts *testscript.TestScript, args []string) {
+func (s *sessionFleet) fleet(ts *testscript.TestScript, args []string) {
 	var callers, operators []string
 	for _, a := range args {
 		name, zone, _ := strings.Cut(a, "=")
@@ -110,13 +110,13 @@
 	for _, from := range s.names {
 		for _, to := range s.names {
 			if from != to {
-				s.wires[[2]string{from, to}] = newWire(ts, s.ports[to].peer)
+				s.links[[2]string{from, to}] = newLink(ts, s.ports[to].peer)
 			}
 		}
 	}
 }
 
-// freePort returns an address for an entry that is started later, as a process.
+// freePort returns an address for an entry process that is started later.
 func freePort(ts *testscript.TestScript) string {
 	l, err := fleet.Listen()
 	ts.Check(err)
@@ -125,7 +125,7 @@
 }
 
 // entry NAME... starts entries and waits until each answers its health check.
-func (s *stage) entry(ts *testscript.TestScript, args []string) {
+func (s *sessionFleet) entry(ts *testscript.TestScript, args []string) {
 	for _, name := range args {
 		s.startEntry(ts, name)
 	}
@@ -141,11 +141,11 @@
 	}
 }
 
-func (s *stage) startEntry(ts *testscript.TestScript, name string) {
+func (s *sessionFleet) startEntry(ts *testscript.TestScript, name string) {
 	var peers []string
 	for _, other := range s.names {
 		address := s.ports[other].peer
-		if w := s.wires[[2]string{name, other}]; w != nil {
+		if w := s.links[[2]string{name, other}]; w != nil {
 			address = w.address()
 		}
 		peers = append(peers, fmt.Sprintf("%s=%s@%s", other, s.zones[other], address))
@@ -178,8 +178,8 @@
 	})
 }
 
-// lookPath finds the commands of the session, which the test binary's own PATH
-// does not have.
+// lookPath finds the vanillagrade command of the session, which is not in the test
+// binary's own PATH.
 func lookPath(path string) string {
 	for _, dir := range filepath.SplitList(path) {
 		file := filepath.Join(dir, "vanillagrade")
@@ -190,20 +190,20 @@
 	return ""
 }
 
-func (s *stage) await(ts *testscript.TestScript, what string, done func() bool) {
+func (s *sessionFleet) await(ts *testscript.TestScript, what string, done func() bool) {
 	const poll = 20 * time.Millisecond
-	for deadline := time.Now().Add(untilTime); !done(); time.Sleep(poll) {
+	for deadline := time.Now().Add(conditionTimeout); !done(); time.Sleep(poll) {
 		if time.Now().After(deadline) {
-			ts.Fatalf("%s did not come about within %s", what, untilTime)
+			ts.Fatalf("timed out waiting for %s after %s", what, conditionTimeout)
 		}
 	}
 }
 
-// end signals an entry and waits for its end.
-func (s *stage) end(ts *testscript.TestScript, name string, signal syscall.Signal) error {
+// end sends a signal to an entry and waits until its process ends.
+func (s *sessionFleet) end(ts *testscript.TestScript, name string, signal syscall.Signal) error {
 	p := s.running[name]
 	if p == nil {
-		ts.Fatalf("entry %s does not run", name)
+		ts.Fatalf("entry %s is not running", name)
 	}
 	delete(s.running, name)
 	ts.Check(p.cmd.Process.Signal(signal))
@@ -212,22 +212,22 @@
 	return err
 }
 
-// crash NAME... kills entries, as a dying VM does.
-func (s *stage) crash(ts *testscript.TestScript, args []string) {
+// crash NAME... kills entries, like the crash of a VM.
+func (s *sessionFleet) crash(ts *testscript.TestScript, args []string) {
 	for _, name := range args {
 		_ = s.end(ts, name, syscall.SIGKILL)
 	}
 }
 
-// terminate NAME... stops entries as planned; each must exit with 0.
-func (s *stage) terminate(ts *testscript.TestScript, args []string) {
+// terminate NAME... starts a planned stop of entries; each must exit with 0.
+func (s *sessionFleet) terminate(ts *testscript.TestScript, args []string) {
 	for _, name := range args {
 		ts.Check(s.end(ts, name, syscall.SIGTERM))
 	}
 }
 
-// ended NAME... waits until entries end by themselves, each with 0.
-func (s *stage) ended(ts *testscript.TestScript, args []string) {
+// ended NAME... waits until entries exit by themselves, each with 0.
+func (s *sessionFleet) ended(ts *testscript.TestScript, args []string) {
 	for _, name := range args {
 		p := s.running[name]
 		delete(s.running, name)
@@ -235,9 +235,9 @@
 	}
 }
 
-// target ID ZONE POOL SLOTS [held] starts a stand-in that announces to its
-// zone. A held one keeps its tasks running until release.
-func (s *stage) target(ts *testscript.TestScript, args []string) {
+// target ID ZONE POOL SLOTS [held] starts a stand-in target that announces itself to the
+// entries of its zone. A held target keeps its tasks running until release.
+func (s *sessionFleet) target(ts *testscript.TestScript, args []string) {
 	if len(args) < 4 {
 		ts.Fatalf("usage: target ID ZONE POOL SLOTS [held]")
 	}
@@ -268,12 +268,12 @@
 	stop := func() { once.Do(func() { cancel(); <-done }) }
 	s.targets[args[0]] = stop
 	ts.Defer(func() {
-		s.letGo() // a script that fails has not released its tasks
+		s.releaseTasks() // a failed script may not have released its tasks
 		stop()
 	})
 }
 
-func (s *stage) heldWork(ctx context.Context, _ job.ID, _ int, payload []byte) ([]byte, error) {
+func (s *sessionFleet) heldWork(ctx context.Context, _ job.ID, _ int, payload []byte) ([]byte, error) {
 	select {
 	case <-s.released:
 		return payload, nil
@@ -282,23 +282,23 @@
 	}
 }
 
-// release lets held tasks end.
-func (s *stage) release(_ *testscript.TestScript, _ []string) { s.letGo() }
+// release lets the tasks of held targets end.
+func (s *sessionFleet) release(_ *testscript.TestScript, _ []string) { s.releaseTasks() }
 
-func (s *stage) letGo() { s.letGoOnce.Do(func() { close(s.released) }) }
+func (s *sessionFleet) releaseTasks() { s.releaseOnce.Do(func() { close(s.released) }) }
 
-// leave ID... lets targets withdraw and end.
-func (s *stage) leave(ts *testscript.TestScript, args []string) {
+// leave ID... makes targets withdraw and stop.
+func (s *sessionFleet) leave(ts *testscript.TestScript, args []string) {
 	for _, id := range args {
 		s.targets[id]()
 	}
 }
 
-// starts N asserts how many tasks were started on all targets, none twice.
-func (s *stage) starts(ts *testscript.TestScript, args []string) {
+// starts N asserts that N tasks were started on all targets together, and none twice.
+func (s *sessionFleet) starts(ts *testscript.TestScript, args []string) {
 	want, err := strconv.ParseUint(args[0], 10, 64)
 	ts.Check(err)
-	// The entry's event of a start comes before the target has the task.
+	// The entry records a start before the target receives the task.
 	s.await(ts, "starts "+args[0], func() bool { return s.ledger.Starts() >= want })
 	if got := s.ledger.Starts(); got != want {
 		ts.Fatalf("%d starts, expected %d", got, want)
@@ -308,8 +308,8 @@
 	}
 }
 
-// until PATTERN exec vanillagrade ARGUMENT... repeats the command until what it prints matches.
-func (s *stage) until(ts *testscript.TestScript, args []string) {
+// until PATTERN exec vanillagrade ARGUMENT... repeats the command until its output matches.
+func (s *sessionFleet) until(ts *testscript.TestScript, args []string) {
 	pattern, err := regexp.Compile(args[0])
 	ts.Check(err)
 	s.await(ts, strings.Join(args, " "), func() bool {
@@ -321,17 +321,17 @@
 	})
 }
 
-// cut ZONE... breaks all links between entries of the zones and others.
-func (s *stage) cut(_ *testscript.TestScript, args []string) { s.setWires(args, true) }
+// cut ZONE... breaks all links between entries of the zones and other entries.
+func (s *sessionFleet) cut(_ *testscript.TestScript, args []string) { s.setLinks(args, true) }
 
-// heal ZONE... restores them.
-func (s *stage) heal(_ *testscript.TestScript, args []string) { s.setWires(args, false) }
+// heal ZONE... restores the links that cut breaks.
+func (s *sessionFleet) heal(_ *testscript.TestScript, args []string) { s.setLinks(args, false) }
 
-func (s *stage) setWires(zones []string, down bool) {
-	for pair, w := range s.wires {
+func (s *sessionFleet) setLinks(zones []string, down bool) {
+	for pair, w := range s.links {
 		for _, zone := range zones {
 			if (s.zones[pair[0]] == zone) != (s.zones[pair[1]] == zone) {
-				w.set(down)
+				w.setDown(down)
 			}
 		}
 	}
--- a/cmd/vanillagrade/status.go
+++ b/cmd/vanillagrade/status.go
@@ -12,11 +12,11 @@
 	"github.com/vanillagrade/vanillagrade/internal/status"
 )
 
-// statusCmd prints what entries say of themselves. Its exit code is 0 only
-// when each entry named by --operator answers and is healthy.
+// statusCmd prints the status that entries report. Its exit code is 0 only if every
+// entry listed in --operator answers and is healthy.
 type statusCmd struct {
 	operatorFlags
-	JSON bool `arg:"--json" help:"one JSON object an entry"`
+	JSON bool `arg:"--json" help:"print one JSON object per entry"`
 }
 
 func (c *statusCmd) run(ctx context.Context, stdout, stderr io.Writer) int {
--- a/cmd/vanillagrade/submit.go
+++ b/cmd/vanillagrade/submit.go
@@ -16,8 +16,8 @@
 
 // submitCmd sends one job.
 type submitCmd struct {
-	File    string        `arg:"positional,required" placeholder:"FILE" help:"a JSON job as POST /v1/jobs takes it, or - for standard input"`
-	Entries string        `arg:"--entry,env:VANILLAGRADE_ENTRY" default:"127.0.0.1:7001" help:"caller addresses IP:PORT,... tried in turn while nothing was sent"`
+	File    string        `arg:"positional,required" placeholder:"FILE" help:"a JSON job in the format of POST /v1/jobs, or - for standard input"`
+	Entries string        `arg:"--entry,env:VANILLAGRADE_ENTRY" default:"127.0.0.1:7001" help:"caller addresses IP:PORT,... tried in turn until a connection succeeds"`
 	Timeout time.Duration `arg:"--timeout" default:"60s"`
 }
 
@@ -28,11 +28,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for address := range strings.SplitSeq(c.Entries, ",") {
 		response, err := postJob(ctx, address, body)
 		if err != nil && neverSent(err) {
-			last = err
+			lastErr = err
 			continue
 		}
 		if err != nil {
@@ -40,7 +40,7 @@
 		}
 		defer response.Body.Close()
 		if _, err := io.Copy(stdout, response.Body); err != nil {
-			return fail(stderr, exitFailed, errors.Annotate(err, "the answer was cut off: the job may have run"))
+			return fail(stderr, exitFailed, errors.Annotate(err, "the answer is incomplete: the job may have run"))
 		}
 		fmt.Fprintln(stdout)
 		if response.StatusCode != http.StatusOK {
@@ -48,11 +48,11 @@
 		}
 		return exitOK
 	}
-	return fail(stderr, exitFailed, last)
+	return fail(stderr, exitFailed, lastErr)
 }
 
-// postJob sends the job over a connection of its own, so that the library has
-// no reused connection on which it might send it twice.
+// postJob sends the job over a new connection. On a reused connection, the HTTP client
+// might send it twice.
 func postJob(ctx context.Context, address string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/jobs", bytes.NewReader(body))
 	if err != nil {
@@ -65,8 +65,8 @@
 	return response, errors.Trace(err)
 }
 
-// neverSent reports whether no connection came about: only then may the next
-// entry get the job without its being a resubmission.
+// neverSent reports whether no connection was established. Only then is sending the job to
+// the next entry not a resubmission.
 func neverSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/cmd/vanillagrade/target.go
+++ b/cmd/vanillagrade/target.go
@@ -13,7 +13,7 @@
 // targetCmd runs a stand-in target.
 type targetCmd struct {
 	ID           string  `arg:"--id,env:VANILLAGRADE_TARGET_ID,required"`
-	Service      string  `arg:"--service,env:VANILLAGRADE_SERVICE,required" help:"the pool that the target announces"`
+	Service      string  `arg:"--service,env:VANILLAGRADE_SERVICE,required" help:"pool that the target announces"`
 	AZ           string  `arg:"--az,env:VANILLAGRADE_AZ,required" placeholder:"ZONE"`
 	Rack         string  `arg:"--rack"`
 	Listen       string  `arg:"--listen" default:"127.0.0.1:0" placeholder:"IP:PORT"`
@@ -23,8 +23,8 @@
 	Processors   int     `arg:"--processors"`
 	MemoryMB     int     `arg:"--memory-mb"`
 	Accelerators int     `arg:"--accelerators"`
-	Speed        float64 `arg:"--speed" default:"1" help:"0.1 runs every task ten times as long"`
-	FailAll      bool    `arg:"--fail-all" help:"fail every task at once"`
+	Speed        float64 `arg:"--speed" default:"1" help:"relative speed; at 0.1 every task takes ten times as long"`
+	FailAll      bool    `arg:"--fail-all" help:"fail every task immediately"`
 }
 
 func (c *targetCmd) run(ctx context.Context, _, stderr io.Writer) int {
--- a/cmd/vanillagrade/timeline.go
+++ b/cmd/vanillagrade/timeline.go
@@ -18,8 +18,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// followEvery is how often --follow asks again.
-const followEvery = time.Second
+// followInterval is how often --follow polls for new events.
+const followInterval = time.Second
 
 // timelineCmd prints the merged events of all entries.
 type timelineCmd struct {
@@ -28,10 +28,10 @@
 	Kinds      string        `arg:"--kind" placeholder:"KIND,..." help:"only events of these kinds"`
 	Entry      string        `arg:"--entry" placeholder:"NAME" help:"only the events of one entry"`
 	Target     string        `arg:"--target" placeholder:"ID" help:"only events about one target"`
-	Last       time.Duration `arg:"--last" help:"only the events of the last time, such as 5m"`
-	Limit      int           `arg:"--limit" default:"5000" help:"at most so many events of each entry"`
-	Follow     bool          `arg:"--follow,-f" help:"go on printing new events"`
-	JSON       bool          `arg:"--json" help:"one JSON object a line"`
+	Last       time.Duration `arg:"--last" help:"only the events of the last period of this length, such as 5m"`
+	Limit      int           `arg:"--limit" default:"5000" help:"maximum number of events per entry"`
+	Follow     bool          `arg:"--follow,-f" help:"keep printing new events"`
+	JSON       bool          `arg:"--json" help:"print one JSON object per line"`
 	SVG        string        `arg:"--svg" placeholder:"FILE" help:"draw the submission across processes into FILE"`
 }
 
@@ -59,7 +59,7 @@
 	return exitOK
 }
 
-// read asks the entries in turn until one answers for all of them.
+// read queries the entries in turn until one returns the merged events of all entries.
 func (c *timelineCmd) read(ctx context.Context, since timeline.Stamp) (timeline.Timeline, error) {
 	query := url.Values{"limit": {strconv.Itoa(c.Limit)}}
 	if c.Submission != "" {
@@ -129,15 +129,15 @@
 	return exitOK
 }
 
-// eventKey names one event of the fleet.
+// eventKey identifies one event of the fleet.
 type eventKey struct {
 	entry job.EntryID
 	stamp timeline.Stamp
 }
 
-// follow prints what is new until it is stopped. Readings overlap, since an
-// event may enter a ring shortly after a later one was read, so those printed
-// already are left out by their keys.
+// follow prints new events until ctx ends. Successive queries overlap, because an event
+// may enter an entry's ring buffer shortly after a later event was read. Events that were
+// already printed are recognised by their keys and left out.
 func (c *timelineCmd) follow(ctx context.Context, line timeline.Timeline, stdout, stderr io.Writer) int {
 	printed := map[eventKey]bool{}
 	for {
@@ -147,11 +147,11 @@
 		select {
 		case <-ctx.Done():
 			return exitOK
-		case <-time.After(followEvery):
+		case <-time.After(followInterval):
 		}
 		next, err := c.read(ctx, line.Next)
 		if err != nil {
-			// An entry that restarts is no reason to stop following.
+			// Keep following while an entry restarts.
 			fmt.Fprintln(stderr, "vanillagrade:", err)
 			continue
 		}
