--- a/internal/api/caller.go
+++ b/internal/api/caller.go
@@ -187,7 +187,7 @@
 	case errors.As(err, &tooLarge):
 		return nil, release, refuse(job.TooLarge, "the body is larger than the configuration allows", 0)
 	case err != nil:
-		return nil, release, refuse(job.Malformed, "the body could not be read whole: "+err.Error(), 0)
+		return nil, release, refuse(job.Malformed, "the body could not be read completely: "+err.Error(), 0)
 	}
 	return body, release, nil
 }
--- a/internal/api/caller_test.go
+++ b/internal/api/caller_test.go
@@ -140,7 +140,7 @@
 // A caller opens a connection and sends its headers or its body one byte at a time,
 // on purpose or over a failing link. Without a timeout, some hundreds of such callers
 // occupy all connections and memory of an entry, and other callers can't connect.
-func TestTricklingCallersAreCutOff(t *testing.T) {
+func TestTricklingCallersTimeOut(t *testing.T) {
 	tests := []struct {
 		name, sent string
 		within     time.Duration
@@ -174,7 +174,7 @@
 
 // A caller sends a job and never reads its answer. Without a timeout, some hundreds of
 // such callers occupy memory with their answers, and a planned stop never ends.
-func TestCallersThatDoNotReadAreCutOff(t *testing.T) {
+func TestCallersThatDoNotReadTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCaller(&echo{})
 		l := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
@@ -200,7 +200,7 @@
 
 // A planned stop begins while a job runs. The caller must still get its whole answer
 // over its open connection.
-func TestServeCutsNoRequest(t *testing.T) {
+func TestServeInterruptsNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(3 * time.Second)
--- a/internal/api/hangup_test.go
+++ b/internal/api/hangup_test.go
@@ -55,7 +55,7 @@
 
 // A caller sends a job and hangs up; both arrive together, as after a network partition. The
 // job must not be started, since its caller sends it elsewhere.
-func TestAHangUpBehindTheRequestIsSeen(t *testing.T) {
+func TestHangUpRightAfterARequestIsDetected(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Log("the end of a connection can't be told here before the server reads it")
 		return
@@ -76,7 +76,7 @@
 
 // A connection is reset right after its request, and the caller sends the job elsewhere at
 // once. The job must not be started here: it would run twice for some milliseconds.
-func TestAResetBehindTheRequestIsSeen(t *testing.T) {
+func TestResetRightAfterARequestIsDetected(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Log("the end of a connection can't be told here before the server reads it")
 		return
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestACallerWhoWaitsHasNotHungUp(t *testing.T) {
+func TestWaitingCallerHasNotHungUp(t *testing.T) {
 	done := make(chan struct{}, 1)
 	address, seen := serveHangUps(t, done)
 	for range 20 {
--- a/internal/api/operator.go
+++ b/internal/api/operator.go
@@ -89,7 +89,7 @@
 func (o *Operator) putConfiguration(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigurationBytes))
 	if err != nil {
-		writeJSON(w, http.StatusBadRequest, problem{Error: "the file could not be read whole: " + err.Error()})
+		writeJSON(w, http.StatusBadRequest, problem{Error: "the file could not be read completely: " + err.Error()})
 		return
 	}
 	changeID := strings.TrimSpace(r.Header.Get(HeaderChangeID))
--- a/internal/api/stop_test.go
+++ b/internal/api/stop_test.go
@@ -62,7 +62,7 @@
 // Callers have connected and written their requests, and the process is asked to stop
 // before it has accepted any of these connections. All callers must get their answer
 // instead of a reset.
-func TestAPlannedStopAnswersWhatWaitsToBeAccepted(t *testing.T) {
+func TestAPlannedStopAnswersPendingConnections(t *testing.T) {
 	const callers = 50
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
