--- a/internal/bound/bound.go
+++ b/internal/bound/bound.go
@@ -70,7 +70,7 @@
 // It takes the best of three plans: by value per second, by arrival and by deadline.
 func Plan(jobs []Job, slots int) (inTime []bool, value float64) {
 	for _, order := range []func(a, b *Job) int{byValuePerSecond, byArrival, byDeadline} {
-		taken, v := greedyPlan(jobs, slots, sortedIndexes(jobs, order))
+		taken, v := planInOrder(jobs, slots, sortedIndexes(jobs, order))
 		if v > value || inTime == nil {
 			inTime, value = taken, v
 		}
@@ -140,7 +140,7 @@
 	return earned
 }
 
-func greedyPlan(jobs []Job, slots int, order []int) (inTime []bool, value float64) {
+func planInOrder(jobs []Job, slots int, order []int) (inTime []bool, value float64) {
 	s := newSchedule(jobs, slots)
 	inTime = make([]bool, len(jobs))
 	for _, i := range order {
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -12,7 +12,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-const rightFile = `number: 42                      # a comment
+const validFile = `number: 42                      # a comment
 teams:
   - {name: studio7, weight: 3, max_queued_tasks: 4000, tasks_per_second: 900}
 services:
@@ -33,7 +33,7 @@
 `
 
 func TestParseReadsEveryKey(t *testing.T) {
-	f, err := Parse("a.yaml", []byte(rightFile))
+	f, err := Parse("a.yaml", []byte(validFile))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, *f, qt.DeepEquals, File{
 		Number: 42,
@@ -117,10 +117,10 @@
 }
 
 func TestDiffNamesEveryChange(t *testing.T) {
-	old, err := Parse("a", []byte(rightFile))
+	old, err := Parse("a", []byte(validFile))
 	qt.Assert(t, err, qt.IsNil)
 	changed := strings.NewReplacer("number: 42", "number: 43", "weight: 3", "weight: 4", "name: alerts", "name: alarms",
-		"deadline: 800ms", "deadline: 2s", "late_answers: refuse", "late_answers: flag", "lease: 4s", "lease: 5s").Replace(rightFile)
+		"deadline: 800ms", "deadline: 2s", "late_answers: refuse", "late_answers: flag", "lease: 4s", "lease: 5s").Replace(validFile)
 	updated, err := Parse("a", []byte(changed))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, Diff(old, updated), qt.DeepEquals, []string{
@@ -143,7 +143,7 @@
 // Files come over the network: for any input, the parser must return either a file or
 // problems with positions, and must not panic.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(rightFile))
+	f.Add([]byte(validFile))
 	seeds, _ := filepath.Glob("testdata/seeds/*.yaml")
 	for _, s := range seeds {
 		data, err := os.ReadFile(s)
