--- a/internal/api/hangup_test.go
+++ b/internal/api/hangup_test.go
@@ -57,7 +57,7 @@
 // job must not be started, since its caller sends it elsewhere.
 func TestHangUpRightAfterARequestIsDetected(t *testing.T) {
 	if runtime.GOOS != "linux" {
-		t.Log("the end of a connection can't be told here before the server reads it")
+		t.Log("a closed connection can't be detected on this platform before the server reads from it")
 		return
 	}
 	done := make(chan struct{}, 1)
@@ -78,7 +78,7 @@
 // once. The job must not be started here: it would run twice for some milliseconds.
 func TestResetRightAfterARequestIsDetected(t *testing.T) {
 	if runtime.GOOS != "linux" {
-		t.Log("the end of a connection can't be told here before the server reads it")
+		t.Log("a closed connection can't be detected on this platform before the server reads from it")
 		return
 	}
 	done := make(chan struct{}, 1)
--- a/internal/api/stop.go
+++ b/internal/api/stop.go
@@ -103,7 +103,7 @@
 	if err := dropSYNs(tcp); err == nil {
 		time.Sleep(handshakeGrace)
 	} else {
-		l.log.Info("a connection that is opened in the microseconds of the listener's end may be reset", "address", l.Addr().String(), "cause", err)
+		l.log.Info("a connection that is opened within microseconds of the listener's close may be reset", "address", l.Addr().String(), "cause", err)
 	}
 	if err := l.acceptPending(tcp); err != nil && !errors.Is(err, net.ErrClosed) {
 		l.log.Warn("pending connections are lost: the listener can't accept them", "address", l.Addr().String(), "error", err)
