--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -12,7 +12,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-const rightFile = `number: 42                      # a comment
+const validFile = `number: 42                      # a comment
 teams:
   - {name: studio7, weight: 3, max_queued_tasks: 4000, tasks_per_second: 900}
 services:
@@ -33,7 +33,7 @@
 `
 
 func TestParseReadsEveryKey(t *testing.T) {
-	f, err := Parse("a.yaml", []byte(rightFile))
+	f, err := Parse("a.yaml", []byte(validFile))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, *f, qt.DeepEquals, File{
 		Number: 42,
@@ -51,9 +51,9 @@
 	qt.Assert(t, Digest([]byte("x")) != Digest([]byte("y")), qt.IsTrue)
 }
 
-// An operator mistypes a key or a unit, or copies a block twice. If the file
-// were accepted, a quota would silently not hold; the operator must see each
-// fault with its line in one go.
+// An operator mistypes a key or a unit, or copies a block twice. If the file were
+// accepted, a quota could silently be missing. One check must report all faults, each
+// with its line.
 func TestParseReportsEveryProblemWithItsLine(t *testing.T) {
 	head := "number: 1\nservices: [{name: a}]\n"
 	cases := map[string]struct{ file, want string }{
@@ -117,10 +117,10 @@
 }
 
 func TestDiffNamesEveryChange(t *testing.T) {
-	old, err := Parse("a", []byte(rightFile))
+	old, err := Parse("a", []byte(validFile))
 	qt.Assert(t, err, qt.IsNil)
 	changed := strings.NewReplacer("number: 42", "number: 43", "weight: 3", "weight: 4", "name: alerts", "name: alarms",
-		"deadline: 800ms", "deadline: 2s", "late_answers: refuse", "late_answers: flag", "lease: 4s", "lease: 5s").Replace(rightFile)
+		"deadline: 800ms", "deadline: 2s", "late_answers: refuse", "late_answers: flag", "lease: 4s", "lease: 5s").Replace(validFile)
 	updated, err := Parse("a", []byte(changed))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, Diff(old, updated), qt.DeepEquals, []string{
@@ -140,10 +140,10 @@
 	qt.Assert(t, len(Diff(nil, old)) > 5, qt.IsTrue)
 }
 
-// A file comes over the network: whatever its bytes, the parser must give a
-// file or problems with places, and not panic.
+// Files come over the network: for any input, the parser must return either a file or
+// problems with positions, and must not panic.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(rightFile))
+	f.Add([]byte(validFile))
 	seeds, _ := filepath.Glob("testdata/seeds/*.yaml")
 	for _, s := range seeds {
 		data, err := os.ReadFile(s)
