--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -58,8 +58,8 @@
 	return err
 }
 
-// BenchmarkAddedTime sends a 50 ms task at a time straight to a target and
-// through an entry, by turns, and reports what the entry adds.
+// BenchmarkAddedTime sends 50 ms tasks one at a time, alternately to a target
+// directly and through an entry, and reports the latency that the entry adds.
 func BenchmarkAddedTime(b *testing.B) {
 	f := benchFleet(b, 1, 1, 4)
 	client := &http.Client{}
@@ -86,9 +86,9 @@
 	b.ReportMetric(float64(through.ValueAtQuantile(99)-direct.ValueAtQuantile(99)), "added-p99-µs")
 }
 
-// BenchmarkStarts sends jobs of zero-work tasks from parallel callers and
-// reports starts a second; callers and targets share the processors with the
-// entry, so the figure is a lower bound of what the entry alone reaches.
+// BenchmarkStarts sends jobs of tasks without work from parallel callers and
+// reports the starts per second. Callers and targets share the processors with
+// the entry, so the result is a lower bound for an entry alone.
 func BenchmarkStarts(b *testing.B) {
 	for _, size := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("tasks=%d", size), func(b *testing.B) {
--- a/internal/fleet/broken_target_test.go
+++ b/internal/fleet/broken_target_test.go
@@ -14,11 +14,11 @@
 	"github.com/vanillagrade/vanillagrade/internal/standin"
 )
 
-// brokenListener breaks the connections of a target by turns: before an
-// answer, within it, or not at all.
+// brokenListener breaks a target's connections in rotation: before a response,
+// in the middle of one, or not at all.
 type brokenListener struct {
 	net.Listener
-	answers atomic.Int64
+	writes atomic.Int64
 }
 
 func (l *brokenListener) Accept() (net.Conn, error) {
@@ -35,7 +35,7 @@
 }
 
 func (c *brokenConn) Write(p []byte) (int, error) {
-	switch c.listener.answers.Add(1) % 3 {
+	switch c.listener.writes.Add(1) % 3 {
 	case 1:
 		_ = c.Close()
 		return 0, net.ErrClosed
@@ -47,11 +47,11 @@
 	return c.Conn.Write(p)
 }
 
-// One target's network breaks its answers off, on fresh and reused connections
-// alike, while callers send alarms through two entries. Callers get whole
-// answers or failures; "not run" is told of no job that ran; and no alarm goes
-// out twice, however tempting it is to send it again.
-func TestTargetThatBreaksItsAnswersOff(t *testing.T) {
+// One target's connections break during responses, both new and reused ones,
+// while callers send alarms through two entries. Callers must receive complete
+// answers or failures, no job that ran may be reported as "not run", and no task
+// may be started again although its result is missing.
+func TestTargetWithBrokenConnections(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	broken := &brokenListener{Listener: l}
--- a/internal/fleet/cancel_test.go
+++ b/internal/fleet/cancel_test.go
@@ -13,9 +13,10 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// An artist closes a window and a whole wave of jobs is cancelled, through
-// whatever entry the balancer picks. Each waiting caller is told so at once,
-// tasks that had not started never do, and the slots are free for others.
+// Many jobs are cancelled at once, each through another entry than the one that
+// received it. Each waiting caller must receive the cancellation at once, tasks
+// that have not started must never start, and the slots must be free for other
+// jobs.
 func TestWaveOfCancellations(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 2, TargetsPerZone: 1})
 	addresses := f.CallerAddresses("")
@@ -28,7 +29,7 @@
 			qt.Check(t, r.other.Outcome, qt.Equals, job.Cancelled, qt.Commentf("%+v", r))
 		})
 	}
-	f.untilRunning(jobs)
+	f.waitRunning(jobs)
 	for i := range jobs {
 		request, err := http.NewRequest(http.MethodDelete, fmt.Sprintf("http://%s/v1/jobs/wave-%d", addresses[(i+1)%2], i), nil)
 		qt.Assert(t, err, qt.IsNil)
@@ -46,8 +47,8 @@
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
-// untilRunning waits until the entries drive n submissions.
-func (f *Fleet) untilRunning(n int) {
+// waitRunning waits until the entries process n submissions.
+func (f *Fleet) waitRunning(n int) {
 	running := 0
 	for running < n {
 		running = 0
@@ -58,9 +59,9 @@
 	}
 }
 
-// A caller asks another entry than its job's owner where the job stands, while
-// it runs and after it has ended, and about one that never was.
-func TestWhereASubmissionStands(t *testing.T) {
+// A caller queries the status of a job at an entry that does not own it, while
+// the job runs and after it has ended, and the status of an unknown job.
+func TestJobStatusFromAnotherEntry(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a", "b"}, EntriesPerZone: 1, TargetsPerZone: 1})
 	addresses := f.CallerAddresses("")
 	done := make(chan *reply)
@@ -69,7 +70,7 @@
 		qt.Check(t, err, qt.IsNil)
 		done <- r
 	}()
-	f.untilRunning(1)
+	f.waitRunning(1)
 	var status api.JobStatus
 	qt.Assert(t, getJSON(addresses[1]+"/v1/jobs/where", &status), qt.Equals, http.StatusOK)
 	qt.Assert(t, status.State, qt.Equals, api.StateRunning)
--- a/internal/fleet/chaos_test.go
+++ b/internal/fleet/chaos_test.go
@@ -18,12 +18,12 @@
 )
 
 var (
-	chaosFor  = flag.Duration("chaos.for", 45*time.Second, "how long faults are brought about")
-	chaosSeed = flag.Uint64("chaos.seed", 1, "seed of the faults; their timing against the load differs from run to run")
+	chaosDuration = flag.Duration("chaos.for", 45*time.Second, "how long faults are injected")
+	chaosSeed     = flag.Uint64("chaos.seed", 1, "seed of the faults; their timing against the load differs from run to run")
 )
 
-// chaosCallers and chaosAttempts are the callers side by side, and how often
-// each sends a job whose fate is unknown.
+// chaosCallers is the number of parallel callers. chaosAttempts is how often each
+// of them sends a job whose result is unknown.
 const (
 	chaosCallers  = 12
 	chaosAttempts = 4
@@ -31,9 +31,9 @@
 
 // tally counts what callers received.
 type tally struct {
-	mu     sync.Mutex
-	counts map[string]int
-	wrong  []string
+	mu         sync.Mutex
+	counts     map[string]int
+	violations []string
 }
 
 func (a *tally) count(what string) {
@@ -42,17 +42,17 @@
 	a.counts[what]++
 }
 
-func (a *tally) blame(format string, args ...any) {
+func (a *tally) addViolation(format string, args ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.wrong = append(a.wrong, fmt.Sprintf(format, args...))
+	a.violations = append(a.violations, fmt.Sprintf(format, args...))
 }
 
-// Entries are killed, restarted and stopped, and availability zones cut off, at
-// random while callers send jobs of all services and send again what is
-// unknown. Whatever happens, no task starts twice, no "not run" is false and no
-// answer is partial or somebody else's. It is a search for faults that runs for
-// a minute, so it stands outside of the usual tests:
+// Entries are killed, restarted and stopped and availability zones are
+// partitioned at random while callers send jobs of all services and resend those
+// with an unknown result. No task may start twice, no "not run" may be false, and
+// no answer may be partial or belong to another job. The test searches for faults
+// for about a minute, so it needs a build tag:
 //
 //	go test -tags chaos -run Chaos -v ./internal/fleet -chaos.seed 7
 func TestChaos(t *testing.T) {
@@ -69,22 +69,23 @@
 				case <-stop:
 					return
 				default:
-					f.persist(client, b, c, i, sums)
+					f.sendUntilKnown(client, b, c, i, sums)
 				}
 			}
 		})
 	}
-	f.faults(t, rand.New(rand.NewPCG(*chaosSeed, *chaosSeed)))
+	f.injectFaults(t, rand.New(rand.NewPCG(*chaosSeed, *chaosSeed)))
 	close(stop)
 	wg.Wait()
 	t.Logf("%v", sums.counts)
 	t.Logf("%d starts", f.Ledger.Starts())
-	qt.Assert(t, sums.wrong, qt.HasLen, 0)
+	qt.Assert(t, sums.violations, qt.HasLen, 0)
 	qt.Assert(t, f.Ledger.DoubledStarts(), qt.Equals, uint64(0))
 }
 
-// persist sends one job until its fate is known or the caller gives up.
-func (f *Fleet) persist(client *http.Client, b *balancer, c, i int, sums *tally) {
+// sendUntilKnown sends one job until its result is known or all attempts are
+// used.
+func (f *Fleet) sendUntilKnown(client *http.Client, b *balancer, c, i int, sums *tally) {
 	services := []string{"alerts", "thumbs", "spill", "report"}
 	id := fmt.Sprintf("x%d-%d", c, i)
 	tasks := 1 + (c+i)%5
@@ -102,7 +103,7 @@
 		if r.status == http.StatusOK {
 			sums.count("complete")
 			if !whole(r, id, tasks) {
-				sums.blame("%s: not its own whole answer", id)
+				sums.addViolation("%s: not a complete answer of this job", id)
 			}
 			return
 		}
@@ -120,27 +121,27 @@
 func (f *Fleet) checkNotRun(id string, tasks int, sums *tally) {
 	for k := range tasks {
 		if f.Ledger.Started(job.ID(id), k) {
-			sums.blame("%s: task %d was started and called not run", id, k)
+			sums.addViolation("%s: task %d was started but reported as not run", id, k)
 		}
 	}
 }
 
-// faults brings faults about until the time is up. Each is over before the next
-// one, but for what it leaves behind.
-func (f *Fleet) faults(t *testing.T, r *rand.Rand) {
+// injectFaults injects faults until chaosDuration has passed. Each fault ends
+// before the next one begins, but its effects may last longer.
+func (f *Fleet) injectFaults(t *testing.T, r *rand.Rand) {
 	names := f.Names()
-	upTo := func(d time.Duration) { time.Sleep(time.Duration(r.Int64N(int64(d)))) }
-	for until := time.Now().Add(*chaosFor); time.Now().Before(until); upTo(time.Second) {
+	sleepUpTo := func(d time.Duration) { time.Sleep(time.Duration(r.Int64N(int64(d)))) }
+	for until := time.Now().Add(*chaosDuration); time.Now().Before(until); sleepUpTo(time.Second) {
 		name := names[r.IntN(len(names))]
 		switch r.IntN(4) {
 		case 0, 1:
 			f.Kill(name)
-			upTo(1500 * time.Millisecond)
+			sleepUpTo(1500 * time.Millisecond)
 			qt.Assert(t, f.Restart(name), qt.IsNil)
 		case 2:
 			zone := f.member(name).zone
 			f.CutZone(zone, true)
-			upTo(4 * time.Second)
+			sleepUpTo(4 * time.Second)
 			f.CutZone(zone, false)
 		case 3:
 			qt.Check(t, f.StopEntry(name), qt.IsNil)
--- a/internal/fleet/config_test.go
+++ b/internal/fleet/config_test.go
@@ -12,9 +12,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// An operator applies a file that lowers a limit and drops a service while jobs
-// run. Every entry decides by it within moments, without a restart, and the job
-// that runs ends whole by the file under which it was accepted.
+// An operator applies a file that lowers a limit and removes a service while a
+// job runs. Every entry must use the file soon and without a restart, and the
+// running job must complete under the file with which it was accepted.
 func TestNewConfigurationActsOnRunningEntries(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a", "b", "c"}, EntriesPerZone: 1, TargetsPerZone: 1})
 	addresses := f.CallerAddresses("")
@@ -24,7 +24,7 @@
 		qt.Check(t, err, qt.IsNil)
 		running <- r
 	}()
-	f.untilRunning(1)
+	f.waitRunning(1)
 	second := strings.Replace(testFile, "number: 1", "number: 2\nlimits: {max_job_tasks: 2}", 1)
 	second = strings.Replace(second, "name: alerts", "name: alarms", 1)
 	_, err := f.entries[2].entry.Apply(t.Context(), "second", []byte(second))
@@ -44,10 +44,11 @@
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
-// A zone with one of three voters is cut off. It serves on with the file that
-// it has, refuses to apply, and says that it may be stale; the others accept a
-// new file, which is in force in the zone soon after the cut.
-func TestCutOffZoneKeepsItsConfigurationAndCatchesUp(t *testing.T) {
+// A zone with one of three voters is partitioned. It must keep serving with its
+// current file, report that the file may be stale, and refuse to apply a new one.
+// The other zones accept a new file, which must take effect in the zone soon after
+// the partition ends.
+func TestPartitionedZoneKeepsItsConfigurationAndCatchesUp(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a", "b", "c"}, EntriesPerZone: 1, TargetsPerZone: 1, Wires: true})
 	f.CutZone("a", true)
 	second := strings.Replace(testFile, "number: 1", "number: 2", 1)
@@ -62,6 +63,6 @@
 	f.CutZone("a", false)
 	began := time.Now()
 	qt.Assert(t, wait(t.Context(), func() bool { return f.entries[0].entry.Configuration() >= 2 }), qt.IsNil)
-	t.Logf("in force %v after the cut", time.Since(began))
+	t.Logf("in effect %v after the partition", time.Since(began))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
--- a/internal/fleet/drain_test.go
+++ b/internal/fleet/drain_test.go
@@ -12,10 +12,10 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// A stop comes while jobs still wait in the queue of the entry that stops, once
-// with another entry in the zone that takes the targets over and once without.
-// Jobs that were accepted must end whole in both cases.
-func TestPlannedStopFinishesWhatWaits(t *testing.T) {
+// An entry is stopped as planned while jobs wait in its queue, once with another
+// entry in the zone that takes over the targets and once without. All accepted
+// jobs must complete in both cases.
+func TestPlannedStopFinishesQueuedJobs(t *testing.T) {
 	for _, entries := range []int{1, 2} {
 		t.Run(fmt.Sprintf("entries=%d", entries), func(t *testing.T) {
 			f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: entries, TargetsPerZone: 1})
@@ -36,7 +36,7 @@
 					qt.Check(t, whole(r, id, 8), qt.IsTrue)
 				})
 			}
-			f.untilRunning(jobs)
+			f.waitRunning(jobs)
 			for f.Ledger.Starts() == 0 {
 				time.Sleep(time.Millisecond)
 			}
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -17,17 +17,17 @@
 	return nil
 }
 
-// Kill ends an entry at once, as the loss of its VM does: sockets close, work
-// in progress is gone.
+// Kill ends an entry at once, like the loss of its VM: its sockets close and
+// work in progress is lost.
 func (f *Fleet) Kill(name job.EntryID) {
 	m := f.member(name)
 	m.entry.Kill()
 	<-m.done
-	m.dead = true
+	m.stopped = true
 }
 
-// Restart starts a new life of an entry that was killed or stopped, at its
-// former addresses and with its former data folder.
+// Restart starts a new incarnation of a killed or stopped entry with the same
+// addresses and data folder.
 func (f *Fleet) Restart(name job.EntryID) error {
 	m := f.member(name)
 	for _, l := range []*net.Listener{&m.listen.Caller, &m.listen.Peer, &m.listen.Operator} {
@@ -37,25 +37,25 @@
 		}
 		*l = opened
 	}
-	m.dead = false
+	m.stopped = false
 	return f.run(m)
 }
 
-// StopEntry stops one entry as planned and waits for its end.
+// StopEntry performs a planned stop of one entry and waits until it has ended.
 func (f *Fleet) StopEntry(name job.EntryID) error {
 	m := f.member(name)
 	m.stop()
 	<-m.done
-	m.dead = true
+	m.stopped = true
 	return m.err
 }
 
-// CutZone cuts an availability zone's entries off from those of all others, or
-// joins them again. The fleet needs Wires.
+// CutZone partitions an availability zone from all others, or restores its
+// links. It requires Options.Wires.
 func (f *Fleet) CutZone(zone job.Zone, cut bool) {
-	for p, w := range f.wires {
+	for p, l := range f.links {
 		if (f.member(p.from).zone == zone) != (f.member(p.to).zone == zone) {
-			w.set(cut)
+			l.setCut(cut)
 		}
 	}
 }
--- a/internal/fleet/fault_test.go
+++ b/internal/fleet/fault_test.go
@@ -13,15 +13,15 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// balancer stands for the platform's: it asks each entry whether it is ready
-// and sends callers only to those that are. Without it a caller may connect to a
-// listener in the moment in which it closes, which no server can prevent.
+// balancer models the platform's load balancer: it checks the readiness of each
+// entry and sends callers only to ready ones. Without it, a caller may connect to
+// a listener just as the listener closes, which no server can prevent.
 type balancer struct {
 	addresses []string
 	ready     []atomic.Bool
 }
 
-const checkEvery = 20 * time.Millisecond
+const checkInterval = 20 * time.Millisecond
 
 func (f *Fleet) balancer(stop <-chan struct{}) *balancer {
 	b := &balancer{addresses: f.CallerAddresses("")}
@@ -33,7 +33,7 @@
 				select {
 				case <-stop:
 					return
-				case <-time.After(checkEvery):
+				case <-time.After(checkInterval):
 					b.check(i)
 				}
 			}
@@ -50,7 +50,7 @@
 	b.ready[i].Store(err == nil && response.StatusCode == http.StatusOK)
 }
 
-// pick returns a ready entry's address, by turns.
+// pick returns the address of a ready entry, in round-robin order.
 func (b *balancer) pick(turn int) string {
 	for {
 		for i := range b.addresses {
@@ -62,8 +62,8 @@
 	}
 }
 
-// spread runs jobs from several callers at all ready entries until stop is
-// closed and keeps every reply and error by job id.
+// spread sends jobs from several callers to all ready entries until stop is
+// closed, and records every reply and error by job id.
 type spread struct {
 	mu      sync.Mutex
 	replies map[string]*reply
@@ -101,33 +101,33 @@
 	return len(s.replies)
 }
 
-// until waits for n more replies.
-func (s *spread) until(n int) {
+// waitForReplies waits for n more replies.
+func (s *spread) waitForReplies(n int) {
 	for base := s.count(); s.count() < base+n; {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// end stops the callers and waits for their last replies.
-func (s *spread) end() {
+// finish stops the callers and waits for their last replies.
+func (s *spread) finish() {
 	close(s.stop)
 	s.wg.Wait()
 }
 
-// An operator restarts all entries one after the other while callers keep
-// sending: a new release. Every caller gets its whole answer, or a refusal that
-// says "not run", or a closed port; no task starts twice.
+// An operator restarts all entries one by one while callers keep sending, as for
+// a new release. Every caller must receive a complete answer, a refusal with "not
+// run", or a refused connection. No task may start twice.
 func TestRollingRestartUnderLoad(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a", "b"}, EntriesPerZone: 2, TargetsPerZone: 3})
 	s := f.spread(6, 3, 15)
-	s.until(10)
+	s.waitForReplies(10)
 	for _, name := range f.Names() {
 		qt.Assert(t, f.StopEntry(name), qt.IsNil)
-		s.until(5)
+		s.waitForReplies(5)
 		qt.Assert(t, f.Restart(name), qt.IsNil)
-		s.until(5)
+		s.waitForReplies(5)
 	}
-	s.end()
+	s.finish()
 	completed := 0
 	for id, r := range s.replies {
 		if err := s.errs[id]; err != nil {
@@ -146,20 +146,20 @@
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
-// An entry's VM is lost while it owns jobs and holds targets. Callers at other
-// entries get whole answers or clear failures, none hangs, and the targets of
-// the lost entry are served again by the other entry of their zone.
+// An entry's VM is lost while the entry owns jobs and holds targets. Callers at
+// other entries must receive complete answers or failures with a reason, without
+// hanging. The other entry of the zone must take over the targets.
 func TestEntryLostUnderLoad(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 2, TargetsPerZone: 4})
 	s := f.spread(6, 4, 15)
-	s.until(20)
+	s.waitForReplies(20)
 	f.Kill("a-1")
-	s.until(50)
+	s.waitForReplies(50)
 	for f.entries[1].entry.Slots(testPool) < 32 {
 		time.Sleep(10 * time.Millisecond)
 	}
-	s.until(20)
-	s.end()
+	s.waitForReplies(20)
+	s.finish()
 	for id, r := range s.replies {
 		if r == nil {
 			continue // the lost entry's callers see a broken connection
@@ -174,9 +174,10 @@
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
-// An availability zone is cut off, without any socket closing. Both sides go
-// on serving with their own targets, and after the cut they share work again.
-func TestZoneCutOffServesOn(t *testing.T) {
+// An availability zone is partitioned while all sockets stay open. Both sides
+// must keep serving with their own targets, and use each other's targets again
+// after the partition.
+func TestPartitionedZoneKeepsServing(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a", "b", "c"}, EntriesPerZone: 1, TargetsPerZone: 2, Wires: true})
 	f.CutZone("a", true)
 	for i, address := range f.CallerAddresses("") {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet runs a whole fleet in one process on loopback: entries in
-// several availability zones and stand-in targets. The demo, the golden
-// sessions and the load tool use it; every message goes through real sockets.
+// several availability zones and stand-in targets. All messages use real
+// sockets. The demo, the golden sessions and the load tool are built on it.
 package fleet
 
 import (
@@ -32,75 +32,75 @@
 	Zones          []job.Zone
 	EntriesPerZone int
 	TargetsPerZone int
-	// Pool is what the stand-in targets announce as their service.
+	// Pool is the service that the stand-in targets announce.
 	Pool string
 	// TargetsPerRack groups a zone's targets into racks; zero is one rack.
 	TargetsPerRack int
-	// Target is the pattern of every stand-in: slots, sizes, speed.
+	// Target is the template for every stand-in target: slots, sizes, speed.
 	Target standin.Options
-	// Change, when set, may alter one stand-in's options.
+	// Change, if set, may modify the options of each stand-in target.
 	Change func(index int, o *standin.Options)
-	// Scheduler switches single decisions off, for measurements.
+	// Scheduler can switch off single scheduling decisions, for measurements.
 	Scheduler scheduler.Options
-	// Events bounds each entry's time line, as entry.Options says.
+	// Events bounds each entry's timeline; see entry.Options.
 	Events int
-	// File is a declarative file that is applied at the start; the first
-	// entries of up to three zones vote on it.
+	// File is a declarative configuration file that is applied at the start. The
+	// first entries of up to three zones vote on it.
 	File []byte
-	// Config, when set, is in force in place of File, without agreement.
+	// Config, if set, is used instead of File, without a vote.
 	Config config.View
-	// Wires puts a wire that can be cut between each two entries.
+	// Wires connects every two entries through links that can be partitioned.
 	Wires bool
-	// Discover has the entries find each other through seeds, as on a platform that
-	// names only some addresses.
+	// Discover makes the entries discover each other through seeds, as on a
+	// platform that provides only some addresses.
 	Discover bool
-	// Dir is where voters keep their data; by default a temporary folder that
-	// Stop removes.
+	// Dir is the folder for the voters' data. By default it is a temporary folder
+	// that Stop removes.
 	Dir string
 	Log *slog.Logger
-	// LogEvents writes decisions to Log, as entry.Options says.
+	// LogEvents writes decisions to Log; see entry.Options.
 	LogEvents bool
 }
 
 // Fleet is a running fleet.
 type Fleet struct {
-	opts Options
-	temp bool
-	// Ledger sees the starts at all targets together.
+	opts      Options
+	removeDir bool
+	// Ledger records the task starts at all targets.
 	Ledger  *standin.Ledger
-	wires   map[pair]*wire
+	links   map[linkEnds]*link
 	entries []*member
-	targets []*standTarget
+	targets []*runningTarget
 }
 
-// member is one entry's process-like life.
+// member is one entry with its listeners, across all its incarnations.
 type member struct {
 	name   job.EntryID
 	zone   job.Zone
 	listen entry.Listeners
 	entry  *entry.Entry
-	// dead is set while no life of the entry runs.
-	dead bool
-	life
+	// stopped is set while no incarnation of the entry runs.
+	stopped bool
+	runner
 }
 
-type standTarget struct {
+type runningTarget struct {
 	*standin.Target
-	life
+	runner
 }
 
-// pair names the two ends of a wire, the dialling one first.
-type pair struct{ from, to job.EntryID }
+// linkEnds names the dialling and the accepting entry of a link.
+type linkEnds struct{ from, to job.EntryID }
 
-// life is something that runs until it is stopped.
-type life struct {
+// runner runs a function in a goroutine until it is stopped.
+type runner struct {
 	stop context.CancelFunc
 	done chan struct{}
 	err  error
 }
 
 // start runs f until stop is called.
-func (l *life) start(f func(context.Context) error) {
+func (l *runner) start(f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l.stop = cancel
 	l.done = make(chan struct{})
@@ -110,8 +110,8 @@
 	}()
 }
 
-// Start starts all entries and then all targets, and returns once each entry
-// is ready.
+// Start starts all entries and then all targets. If Options.File is set, Start
+// waits until every entry has applied it; WaitReady waits for the targets.
 func Start(o Options) (*Fleet, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -124,7 +124,7 @@
 		return nil, errors.Trace(err)
 	}
 	if o.File != nil {
-		if err := f.applyFirst(); err != nil {
+		if err := f.applyInitialFile(); err != nil {
 			return nil, errors.Trace(err)
 		}
 	}
@@ -134,29 +134,31 @@
 	return f, nil
 }
 
-// makeDir makes the folder of the voters' data.
+// makeDir creates a temporary folder for the voters' data unless Options.Dir is
+// set.
 func (f *Fleet) makeDir() error {
 	if f.opts.Dir != "" {
 		return nil
 	}
 	dir, err := os.MkdirTemp("", "vanillagrade-fleet-")
 	f.opts.Dir = dir
-	f.temp = true
+	f.removeDir = true
 	return errors.Trace(err)
 }
 
-// firstApply bounds the first agreement: three synced writes and a few tries
-// while the links come up.
-const firstApply = 20 * time.Second
+// firstApplyTimeout bounds the first vote: three synced writes and a few retries
+// while connections are established.
+const firstApplyTimeout = 20 * time.Second
 
-// applyPause is the wait between two tries of the first agreement.
-const applyPause = 50 * time.Millisecond
+// applyRetryDelay is the delay between two attempts to apply the first file.
+const applyRetryDelay = 50 * time.Millisecond
 
-// applyFirst applies the first file and waits until it is in force everywhere.
-func (f *Fleet) applyFirst() error {
-	ctx, cancel := context.WithTimeout(context.Background(), firstApply)
+// applyInitialFile applies the first file and waits until it is in effect at all
+// entries.
+func (f *Fleet) applyInitialFile() error {
+	ctx, cancel := context.WithTimeout(context.Background(), firstApplyTimeout)
 	defer cancel()
-	// Entries that find each other answer at once while they know no majority.
+	// During discovery, entries that know no majority yet fail at once.
 	for {
 		_, err := f.entries[0].entry.Apply(ctx, "first", f.opts.File)
 		if err == nil {
@@ -165,7 +167,7 @@
 		if !f.opts.Discover || !errors.Is(err, register.ErrUnavailable) || ctx.Err() != nil {
 			return errors.Annotate(err, "applying the first file")
 		}
-		time.Sleep(applyPause)
+		time.Sleep(applyRetryDelay)
 	}
 	for _, m := range f.entries {
 		if err := wait(ctx, func() bool { return m.entry.Configuration() > 0 }); err != nil {
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// wait polls until done or until ctx ends.
+// wait polls until done returns true or ctx ends.
 func wait(ctx context.Context, done func() bool) error {
 	const poll = 10 * time.Millisecond
 	for !done() {
@@ -199,7 +201,7 @@
 		}
 	}
 	if f.opts.Wires {
-		if err := f.layWires(); err != nil {
+		if err := f.openLinks(); err != nil {
 			return errors.Trace(err)
 		}
 	}
@@ -211,18 +213,18 @@
 	return nil
 }
 
-func (f *Fleet) layWires() error {
-	f.wires = map[pair]*wire{}
+func (f *Fleet) openLinks() error {
+	f.links = map[linkEnds]*link{}
 	for _, from := range f.entries {
 		for _, to := range f.entries {
 			if from == to {
 				continue
 			}
-			w, err := newWire(to.listen.Peer.Addr().String())
+			l, err := newLink(to.listen.Peer.Addr().String())
 			if err != nil {
 				return errors.Trace(err)
 			}
-			f.wires[pair{from.name, to.name}] = w
+			f.links[linkEnds{from.name, to.name}] = l
 		}
 	}
 	return nil
@@ -272,8 +274,8 @@
 	}
 	for _, p := range f.entries {
 		address := p.listen.Peer.Addr().String()
-		if w := f.wires[pair{m.name, p.name}]; w != nil {
-			address = w.address()
+		if l := f.links[linkEnds{m.name, p.name}]; l != nil {
+			address = l.address()
 		}
 		s.Peers = append(s.Peers, settings.Peer{Entry: p.name, Zone: p.zone, Address: address})
 	}
@@ -284,7 +286,7 @@
 	return s
 }
 
-// discover names only the voters' addresses, as seeds.
+// discover configures only the voters' addresses, as seeds.
 func (f *Fleet) discover(m *member, s *settings.Entry) {
 	s.Discover, s.TrustNetwork = true, true
 	voters := f.voters()
@@ -300,10 +302,10 @@
 	}
 }
 
-// linger is shorter than on real VMs: everything here is on one machine.
+// linger is shorter than on real VMs because the whole fleet runs on one machine.
 const linger = 300 * time.Millisecond
 
-// maxVoters is how many entries vote: three bear the loss of one.
+// maxVoters limits the number of voters; three tolerate the loss of one.
 const maxVoters = 3
 
 // voters returns the first entry of each of an odd number of zones.
@@ -348,14 +350,14 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	st := &standTarget{Target: t}
-	st.start(t.Run)
-	f.targets = append(f.targets, st)
+	rt := &runningTarget{Target: t}
+	rt.start(t.Run)
+	f.targets = append(f.targets, rt)
 	return nil
 }
 
-// CallerAddresses returns the callers' addresses of a zone's entries, or of
-// all entries for an empty zone.
+// CallerAddresses returns the addresses for callers at a zone's entries, or at
+// all entries if zone is empty.
 func (f *Fleet) CallerAddresses(zone job.Zone) []string {
 	var out []string
 	for _, m := range f.entries {
@@ -366,7 +368,7 @@
 	return out
 }
 
-// OperatorAddresses returns the operators' addresses of all entries.
+// OperatorAddresses returns the addresses for operators at all entries.
 func (f *Fleet) OperatorAddresses() []string {
 	var out []string
 	for _, m := range f.entries {
@@ -393,14 +395,14 @@
 	return out
 }
 
-// WaitReady waits until every live entry knows that many slots of the pool, or
-// ctx ends.
+// WaitReady waits until every running entry knows the given number of slots of
+// the pool, or until ctx ends.
 func (f *Fleet) WaitReady(ctx context.Context, slots int) error {
 	var least int
 	err := wait(ctx, func() bool {
 		least = slots
 		for _, m := range f.entries {
-			if !m.dead {
+			if !m.stopped {
 				least = min(least, m.entry.Slots(f.opts.Pool))
 			}
 		}
@@ -409,7 +411,8 @@
 	return errors.Annotatef(err, "an entry knows %d of %d slots", least, slots)
 }
 
-// Stop stops all entries as planned, side by side, and then the targets.
+// Stop performs a planned stop of all entries in parallel, and then stops the
+// targets.
 func (f *Fleet) Stop() error {
 	var wg sync.WaitGroup
 	for _, m := range f.entries {
@@ -423,14 +426,14 @@
 	for _, t := range f.targets {
 		<-t.done
 	}
-	for _, w := range f.wires {
-		w.close()
+	for _, l := range f.links {
+		l.close()
 	}
-	if f.temp {
+	if f.removeDir {
 		_ = os.RemoveAll(f.opts.Dir)
 	}
 	for _, m := range f.entries {
-		if m.err != nil && !m.dead {
+		if m.err != nil && !m.stopped {
 			return errors.Annotatef(m.err, "entry %s", m.name)
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -56,8 +56,7 @@
 	other    api.OtherAnswer
 }
 
-// send posts a job; a nil reply with an error that is a refused dial says that
-// nothing was sent.
+// send posts a job. If the error is a failed dial, nothing was sent.
 func send(client *http.Client, address, body string) (*reply, error) {
 	response, err := client.Post("http://"+address+"/v1/jobs", "application/json", bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -87,7 +86,7 @@
 	return fmt.Sprintf(`{"id":%q,"service":%q,"attempt":1,"tasks":[%s]}`, id, service, tasks)
 }
 
-// whole reports whether a complete answer holds its own result for each task.
+// whole reports whether a complete answer has the right result for each task.
 func whole(r *reply, id string, n int) bool {
 	if len(r.complete.Results) != n {
 		return false
@@ -108,10 +107,10 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// An operator stops an entry while callers wait for their jobs and others keep
-// sending. Each caller must get its whole answer, or a refusal that says "not
-// run", or find the port closed; nobody's request is cut in the middle.
-func TestPlannedStopUnderLoadCutsNothing(t *testing.T) {
+// An operator stops an entry while callers wait for jobs and keep sending. Each
+// caller must receive a complete answer, a refusal with "not run", or a refused
+// connection. No request may be interrupted.
+func TestPlannedStopUnderLoadBreaksNoRequest(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 1, TargetsPerZone: 4})
 	address := f.CallerAddresses("")[0]
 	var mu sync.Mutex
@@ -152,10 +151,10 @@
 	qt.Assert(t, f.Ledger.DoubledStarts(), qt.Equals, uint64(0))
 }
 
-// A target's VM loses power while it runs tasks. Jobs with a task on it fail
-// with "may have run", since the task may have had its effect; jobs elsewhere
-// are whole, and no task is started a second time.
-func TestTargetDiesWithTasksOnIt(t *testing.T) {
+// A target's VM loses power while it runs tasks. Jobs with a task on the target
+// must fail with "may have run", since the task may have had its effect. All
+// other jobs must complete, and no task may be started twice.
+func TestTargetLostWithRunningTasks(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 1, TargetsPerZone: 3})
 	address := f.CallerAddresses("")[0]
 	const jobs = 12
@@ -188,9 +187,9 @@
 	_ = f.Stop()
 }
 
-// An operator takes a target out of service while it works. What runs on it
-// ends with its result; nothing new is started on it once it has withdrawn.
-func TestLeavingTargetFinishesAndGetsNothingNew(t *testing.T) {
+// An operator drains a target while it runs tasks. These tasks must end with
+// their results, and no task may be started on the target after its withdrawal.
+func TestDrainingTargetFinishesAndStartsNothing(t *testing.T) {
 	ledgers := map[int]*standin.Ledger{}
 	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 1, TargetsPerZone: 2, Change: func(i int, o *standin.Options) {
 		ledgers[i] = standin.NewLedger()
@@ -221,7 +220,7 @@
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
-// getJSON reads one JSON answer and returns its status.
+// getJSON decodes a JSON response and returns its status.
 func getJSON(url string, into any) int {
 	response, err := http.Get("http://" + url)
 	if err != nil {
@@ -232,10 +231,10 @@
 	return response.StatusCode
 }
 
-// A target withdraws behind a balancer, which brings its request to another
-// entry than its announcements. It must get nothing new from then on, also once
-// the entry that holds its pool is lost and another one takes the pool over from
-// the announcements that it remembers.
+// A target behind a load balancer withdraws, and the withdrawal reaches another
+// entry than its announcement did. No task may be started on the target from then
+// on, even after the pool's holder stops and another entry takes over the pool
+// from the announcements that it has stored.
 func TestWithdrawalAtAnyEntry(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 3, TargetsPerZone: 2, Change: func(_ int, o *standin.Options) {
 		o.Entries = o.Entries[:1]
@@ -257,7 +256,7 @@
 	}
 	qt.Assert(t, f.StopEntry(job.EntryID(holder)), qt.IsNil)
 	for _, m := range f.entries {
-		if m.dead {
+		if m.stopped {
 			continue
 		}
 		r, err := send(http.DefaultClient, m.listen.Caller.Addr().String(), jobBody("at-"+string(m.name), "alerts", 16, 5))
--- a/internal/fleet/keep_test.go
+++ b/internal/fleet/keep_test.go
@@ -10,9 +10,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// keptOwner returns an entry that votes, and so has a disk, and whether it
-// holds targets.
-func (f *Fleet) keptOwner(holds bool) job.EntryID {
+// findVoter returns a voter, which has a data folder, that holds targets or holds
+// none, as requested.
+func (f *Fleet) findVoter(holds bool) job.EntryID {
 	for _, name := range f.voters() {
 		if (f.member(name).entry.Load(testPool).Slots > 0) == holds {
 			return name
@@ -21,12 +21,12 @@
 	return ""
 }
 
-// maxAttempts bounds how often a test's caller comes back.
+// maxAttempts bounds how often a test's caller resends a job.
 const maxAttempts = 100
 
-// untilAnswered sends later attempts to an entry until one has an outcome other
-// than "come back later".
-func untilAnswered(t *testing.T, address, body string) *reply {
+// resendUntilAnswered sends further attempts to an entry until the response is
+// not 503 Service Unavailable.
+func resendUntilAnswered(t *testing.T, address, body string) *reply {
 	t.Helper()
 	for n := 2; n < maxAttempts; n++ {
 		r, err := send(http.DefaultClient, address, attempt(body, n))
@@ -42,14 +42,15 @@
 	return nil
 }
 
-// The entry that accepted a spill forecast dies with its VM while targets held
-// by another entry run it, and is restarted. The caller that comes back through
-// another entry gets the whole forecast; no task started twice.
+// The VM of the entry that accepted a synced job is lost while targets of another
+// entry run the job, and the entry is restarted. The caller that resends the job
+// through another entry must receive the complete answer, and no task may start
+// twice.
 func TestSyncedJobIsDrivenOnAfterARestart(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a", "b", "c"}, EntriesPerZone: 2, TargetsPerZone: 2})
-	owner := f.keptOwner(false)
+	owner := f.findVoter(false)
 	if owner == "" {
-		t.Fatal("every voter holds targets: name the pool so that one does not")
+		t.Fatal("every voter holds targets: choose a pool name for which one voter holds none")
 	}
 	body := jobBody("forecast", "spill", 4, 600)
 	f.killOnceStarted(t, owner, body, 4)
@@ -58,15 +59,16 @@
 	if other.name == owner {
 		other = f.entries[1]
 	}
-	r := untilAnswered(t, other.listen.Caller.Addr().String(), body)
+	r := resendUntilAnswered(t, other.listen.Caller.Addr().String(), body)
 	qt.Assert(t, r.status, qt.Equals, http.StatusOK, qt.Commentf("%+v", r.other))
 	qt.Assert(t, whole(r, "forecast", 4), qt.IsTrue)
 	qt.Assert(t, f.Ledger.Starts(), qt.Equals, uint64(4))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
-// The entry that accepted a replicated job is lost for good. The entry that
-// keeps the copy drives it on, and the caller that comes back gets the answer.
+// The entry that accepted a replicated job is lost permanently. The entry with the
+// copy must continue the job, and the caller that resends it must receive the
+// answer.
 func TestReplicatedJobOutlivesItsOwner(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 3, TargetsPerZone: 2})
 	owner := f.entryWithoutTargets()
@@ -76,7 +78,7 @@
 		if m.name == owner {
 			continue
 		}
-		r := untilAnswered(t, m.listen.Caller.Addr().String(), body)
+		r := resendUntilAnswered(t, m.listen.Caller.Addr().String(), body)
 		qt.Assert(t, r.status, qt.Equals, http.StatusOK, qt.Commentf("%+v", r.other))
 		qt.Assert(t, whole(r, "copy", 4), qt.IsTrue)
 	}
@@ -84,9 +86,9 @@
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
-// The owner of a kept job is also the holder of the targets that run it, and
-// dies. Its results are lost with it. The caller gets a clear failure that does
-// not say "not run", and nothing starts a second time.
+// The owner of a kept job, which also holds the targets that run it, is killed, so
+// the results are lost. The caller must receive a failure with "may have run", and
+// no task may start twice.
 func TestKeptJobWhoseResultsAreLostFails(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 1, TargetsPerZone: 2})
 	owner := f.Names()[0]
@@ -95,7 +97,7 @@
 	f.killOnceStarted(t, owner, body, 4)
 	qt.Assert(t, f.Restart(owner), qt.IsNil)
 	qt.Assert(t, f.WaitReady(t.Context(), 16), qt.IsNil)
-	r := untilAnswered(t, address, body)
+	r := resendUntilAnswered(t, address, body)
 	qt.Assert(t, r.other.Outcome, qt.Equals, job.Failed)
 	qt.Assert(t, r.other.Run, qt.Equals, "may have run")
 	qt.Assert(t, f.Ledger.Starts(), qt.Equals, uint64(4))
--- a/internal/fleet/messages_bench_test.go
+++ b/internal/fleet/messages_bench_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// traffic adds up what all entries sent to each other, by kind of message.
+// traffic sums the messages and bytes that all entries sent to each other, by kind
+// of message.
 func (f *Fleet) traffic(b *testing.B) (messages, bytes map[string]float64) {
 	b.Helper()
 	messages, bytes = map[string]float64{}, map[string]float64{}
@@ -38,9 +39,9 @@
 	return messages, bytes
 }
 
-// BenchmarkMessagesPerJob sends one job of first attempts with a caller's id
-// after the other to the three entries of a zone by turns, and reports the
-// messages between entries for each, without heartbeats.
+// BenchmarkMessagesPerJob sends jobs with a caller's id, all first attempts, one by
+// one to the three entries of a zone in rotation. It reports the messages between
+// entries per job, without heartbeats and keepalives.
 func BenchmarkMessagesPerJob(b *testing.B) {
 	for _, tasks := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(tasks), func(b *testing.B) {
@@ -67,8 +68,8 @@
 	}
 }
 
-// BenchmarkRestTraffic reports what one entry sends a second while no jobs
-// come, in the dearest layouts of seven entries or about that.
+// BenchmarkRestTraffic reports what one entry sends per second while idle, in the
+// most expensive layouts of six or seven entries.
 func BenchmarkRestTraffic(b *testing.B) {
 	const span = 5 * time.Second
 	for _, layout := range [][2]int{{1, 7}, {3, 2}, {7, 1}} {
--- a/internal/fleet/port.go
+++ b/internal/fleet/port.go
@@ -9,9 +9,9 @@
 	"github.com/juju/errors"
 )
 
-// Ports that an entry gives up and takes again, at a restart, must not be taken
-// by anybody in between. The kernel gives ports from 32768 on to outgoing
-// connections, so listeners of a fleet have theirs below.
+// An entry closes its ports and reopens them at a restart; nothing else may take
+// them in between. The kernel assigns ports from 32768 up to outgoing
+// connections, so the listeners of a fleet use lower ports.
 const (
 	lowestPort  = 20000
 	portSpan    = 12000
@@ -21,8 +21,8 @@
 
 var lastPort atomic.Uint32
 
-// Listen opens a listener on loopback at a port that outgoing connections
-// never take.
+// Listen opens a listener on loopback at a port outside the range for outgoing
+// connections.
 func Listen() (net.Listener, error) {
 	start := uint32(os.Getpid()) * processStep
 	var last error
--- a/internal/fleet/resubmit_test.go
+++ b/internal/fleet/resubmit_test.go
@@ -13,14 +13,14 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// attempt returns the body of a later sending of the same job.
+// attempt returns the body of the n-th attempt for the same job.
 func attempt(body string, n int) string {
 	return strings.Replace(body, `"attempt":1`, fmt.Sprintf(`"attempt":%d`, n), 1)
 }
 
-// A caller's client times out early and sends the job again through other
-// entries, of its own and of another availability zone, while it runs and after
-// it has ended. Every sending gets the same whole answer; nothing runs twice.
+// A client times out early and resends its job through other entries, in its own
+// and another availability zone, while the job runs and after it has ended. Every
+// attempt must receive the same complete answer, and no task may run twice.
 func TestSameIDThroughSeveralEntries(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a", "b"}, EntriesPerZone: 2, TargetsPerZone: 2})
 	body := jobBody("again", "alerts", 3, 200)
@@ -55,8 +55,8 @@
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
-// A balancer that retries sends one job to two entries in the same moment,
-// also without saying which attempt it is. It must run once.
+// A retrying load balancer sends one job to two entries at the same time, without
+// an attempt number. The job must run only once.
 func TestSameIDAtTwoEntriesAtOnce(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a", "b"}, EntriesPerZone: 2, TargetsPerZone: 2})
 	addresses := f.CallerAddresses("")
@@ -79,10 +79,11 @@
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
-// An entry's VM is lost while it owns a job whose tasks run on targets that
-// another entry holds. The caller sends the job again through that entry and
-// gets the whole answer from the results that are there; no task starts again.
-func TestResubmissionAfterTheOwnersDeath(t *testing.T) {
+// An entry's VM is lost while the entry owns a job whose tasks run on another
+// entry's targets. The caller resends the job through the remaining entries and
+// must receive the complete answer from the existing results. No task may start
+// again.
+func TestResubmissionAfterOwnerLoss(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 3, TargetsPerZone: 2})
 	owner := f.entryWithoutTargets()
 	body := jobBody("orphan", "alerts", 4, 700)
@@ -100,9 +101,9 @@
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
-// killOnceStarted sends a job to an entry and kills the entry once targets run
-// that many tasks. The caller's broken connection is of no interest; an answer before
-// is none that the test is about.
+// killOnceStarted sends a job to an entry and kills the entry once the given number
+// of tasks has started. It ignores the caller's broken connection, and fails the
+// test if an answer arrives earlier.
 func (f *Fleet) killOnceStarted(t *testing.T, owner job.EntryID, body string, tasks uint64) {
 	t.Helper()
 	address := f.member(owner).listen.Caller.Addr().String()
@@ -131,10 +132,10 @@
 	return ""
 }
 
-// A zone is cut off from the others. A resubmission there may have run on the
-// other side, so it is not started and not called "not run"; a first attempt
-// is served.
-func TestResubmissionInACutOffZone(t *testing.T) {
+// A zone is partitioned from the others. A resubmission there may have run on the
+// other side, so it must be neither started nor reported as "not run". A first
+// attempt must be served.
+func TestResubmissionInPartitionedZone(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a", "b"}, EntriesPerZone: 1, TargetsPerZone: 2, Wires: true})
 	addresses := f.CallerAddresses("")
 	body := jobBody("crossing", "alerts", 1, 5)
@@ -154,10 +155,10 @@
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
-// A caller comes back for its answer after its job's service was dropped from
-// the file. The job did run, so it gets the answer and not a refusal that calls
-// it "not run". An id that nobody knows is refused, and that is "not run", unless its
-// caller says that it sent it before and the fleet is too young to know.
+// A caller resends its job after the service was removed from the file. The job
+// did run, so the caller must receive its answer instead of a refusal with "not
+// run". A job with an unknown id is refused with "not run", unless it is a later
+// attempt and the fleet started too recently to know of earlier ones.
 func TestResubmissionAfterItsServiceWasDropped(t *testing.T) {
 	f := startTest(t, Options{Zones: []job.Zone{"a", "b"}, EntriesPerZone: 1, TargetsPerZone: 1})
 	body := jobBody("dropped", "alerts", 2, 1)
