--- a/internal/entry/assign.go
+++ b/internal/entry/assign.go
@@ -35,7 +35,7 @@
 	if keeper := t.keeperToAsk(announced); keeper != "" {
 		return keeper
 	}
-	candidates := assign.Taking(t.zoneHolders(announced.Zone, announced.Pool))
+	candidates := assign.Candidates(t.zoneHolders(announced.Zone, announced.Pool))
 	if len(candidates) == 0 {
 		return ""
 	}
@@ -108,15 +108,15 @@
 // this entry has sent to it since its last report.
 func (t *targets) targetCounts(pool string) map[job.EntryID]int {
 	now := time.Now()
-	var reported []assign.Reported
+	var reported []assign.HolderReport
 	for _, l := range t.members.AgedLoads() {
 		if l.Pool == pool {
-			reported = append(reported, assign.Reported{Entry: l.Entry, Targets: l.Targets, At: now.Add(-l.Age)})
+			reported = append(reported, assign.HolderReport{Entry: l.Entry, Targets: l.Targets, At: now.Add(-l.Age)})
 		}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return assign.Held(now, reported, t.recentlySent[pool])
+	return assign.CountTargets(now, reported, t.recentlySent[pool])
 }
 
 // mayHold reports whether a member may hold targets in this entry's view. This entry itself
--- a/internal/entry/crashes.go
+++ b/internal/entry/crashes.go
@@ -23,7 +23,7 @@
 // crashReporter tracks tasks under which targets ended, and notifies the entries that may
 // receive the same job again because its holder or owner may be lost.
 type crashReporter struct {
-	tracker *crash.Book
+	tracker *crash.Tracker
 	members *membership.Membership
 	mesh    peer.Mesh
 	self    job.Owner
@@ -41,7 +41,7 @@
 }
 
 func newCrashReporter(e *Entry) *crashReporter {
-	c := &crashReporter{tracker: crash.NewBook(), mesh: e.links, self: e.self, unreported: map[crash.Task]job.Owner{}}
+	c := &crashReporter{tracker: crash.NewTracker(), mesh: e.links, self: e.self, unreported: map[crash.Task]job.Owner{}}
 	c.mesh.HandleInOrder(peer.TaskCrashed, c.handle)
 	return c
 }
@@ -65,11 +65,11 @@
 	zones := []job.Zone{c.self.Zone}
 	var list []crashReport
 	for t, owner := range pending {
-		v := c.tracker.Verdict(t)
-		if len(v.Sure) == 0 {
+		v := c.tracker.Decide(t)
+		if len(v.Counted) == 0 {
 			continue // many targets ended at once, or the task has succeeded
 		}
-		list = append(list, crashReport{Submission: t.Submission, Index: t.Index, Targets: v.Sure})
+		list = append(list, crashReport{Submission: t.Submission, Index: t.Index, Targets: v.Counted})
 		zones = append(zones, owner.Zone)
 	}
 	if len(list) == 0 || c.members == nil {
@@ -96,7 +96,7 @@
 	}
 	now := time.Now()
 	for _, x := range list {
-		c.tracker.Learn(now, crash.Task{Submission: x.Submission, Index: x.Index}, x.Targets)
+		c.tracker.Merge(now, crash.Task{Submission: x.Submission, Index: x.Index}, x.Targets)
 	}
 	return true, nil
 }
--- a/internal/entry/discover.go
+++ b/internal/entry/discover.go
@@ -37,7 +37,7 @@
 // configureDiscovery sets the link options of an entry that discovers the others by itself.
 func (e *Entry) configureDiscovery(links *peer.Options) {
 	s := &e.opts.Settings
-	e.discovered = discovery.NewBook(discovery.Record{Owner: e.self, Address: s.PeerAddr, Disk: s.DataDir != "", Carries: assign.Carries(s.Processors, s.LinkMbps)})
+	e.discovered = discovery.NewBook(discovery.Record{Owner: e.self, Address: s.PeerAddr, Disk: s.DataDir != "", Carries: assign.TargetCapacity(s.Processors, s.LinkMbps)})
 	links.Dynamic, links.Address, links.Silence = true, s.PeerAddr, linkSilenceTimeout
 	links.Join = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { e.joiner.ServeHTTP(w, r) })
 	links.Expects = func(of job.EntryID) (time.Time, time.Duration) { return e.members.Expects(of) }
--- a/internal/entry/inventory.go
+++ b/internal/entry/inventory.go
@@ -38,7 +38,7 @@
 // recallReply is the answer to an entry that queries which targets its previous incarnation
 // held.
 type recallReply struct {
-	Held inventory.Held `cbor:"1,keyasint"`
+	Held inventory.Report `cbor:"1,keyasint"`
 	// Known is false if the entry has never reported.
 	Known bool `cbor:"2,keyasint,omitempty"`
 	// Later requests another query later: the record may be older than what others hold now.
@@ -58,14 +58,14 @@
 
 	// mu guards the table, and dirty, which is set while the disk is behind the table.
 	mu    sync.Mutex
-	table *inventory.Book
+	table *inventory.Table
 	dirty bool
 	// heardFrom are the entries that have reported their targets since this one started.
 	heardFrom map[job.EntryID]bool
 
 	// lastReport is this entry's latest report, delivered the report that each entry has
 	// received last. Only one goroutine uses them.
-	lastReport inventory.Held
+	lastReport inventory.Report
 	delivered  map[job.EntryID]reportID
 	// pending are the targets being reclaimed, which are queried whether they are still the
 	// same. reclaimed is set once reclaiming has begun.
@@ -82,7 +82,7 @@
 func newTargetInventory(t *targets, store *storage.Store) *targetInventory {
 	v := &targetInventory{
 		self: t.self, targets: t, members: t.members, mesh: t.mesh, store: store, log: t.log,
-		delivered: map[job.EntryID]reportID{}, table: &inventory.Book{}, heardFrom: map[job.EntryID]bool{},
+		delivered: map[job.EntryID]reportID{}, table: &inventory.Table{}, heardFrom: map[job.EntryID]bool{},
 	}
 	v.load()
 	v.mesh.Handle(peer.TargetsHeld, v.handleHeld)
@@ -100,7 +100,7 @@
 	if errors.Is(err, errors.NotFound) {
 		return
 	}
-	held := map[job.EntryID]inventory.Held{}
+	held := map[job.EntryID]inventory.Report{}
 	if err == nil && format == heldFormat {
 		err = cbor.Unmarshal(body, &held)
 	}
@@ -161,7 +161,7 @@
 }
 
 // update applies a change to the table.
-func (v *targetInventory) update(f func(*inventory.Book) bool) {
+func (v *targetInventory) update(f func(*inventory.Table) bool) {
 	if v == nil || v.store == nil {
 		return
 	}
@@ -172,30 +172,30 @@
 
 // recordMove records that a target was assigned to an entry.
 func (v *targetInventory) recordMove(t job.Target, to job.EntryID) {
-	v.update(func(b *inventory.Book) bool { return b.Moved(t, to) })
+	v.update(func(b *inventory.Table) bool { return b.Moved(t, to) })
 }
 
 // drop removes a target that is stopping or has ended.
 func (v *targetInventory) drop(id job.TargetID) {
-	v.update(func(b *inventory.Book) bool { return b.Drop(id) })
+	v.update(func(b *inventory.Table) bool { return b.Drop(id) })
 }
 
 // forgetEntry removes an entry that will not return.
 func (v *targetInventory) forgetEntry(entry job.EntryID) {
-	v.update(func(b *inventory.Book) bool {
+	v.update(func(b *inventory.Table) bool {
 		return b.Keep(func(known job.EntryID) bool { return known != entry })
 	})
 }
 
 func (v *targetInventory) handleHeld(_ context.Context, from job.Owner, body cbor.RawMessage) (any, error) {
-	var h inventory.Held
+	var h inventory.Report
 	if err := cbor.Unmarshal(body, &h); err != nil {
 		return nil, errors.Annotate(err, "decoding the targets that an entry holds")
 	}
 	h.Life = from.Incarnation
-	v.update(func(b *inventory.Book) bool {
+	v.update(func(b *inventory.Table) bool {
 		v.heardFrom[from.Entry] = true
-		return b.Told(from.Entry, h)
+		return b.Apply(from.Entry, h)
 	})
 	return true, nil
 }
@@ -218,7 +218,7 @@
 			return recallReply{Later: true}
 		}
 	}
-	h, known := v.table.Of(entry)
+	h, known := v.table.Get(entry)
 	return recallReply{Held: h, Known: known}
 }
 
@@ -238,8 +238,8 @@
 		held[i].Running = 0
 	}
 	if !slices.Equal(held, v.lastReport.Targets) || v.lastReport.Number == 0 {
-		v.lastReport = inventory.Held{Life: v.self.Incarnation, Number: v.lastReport.Number + 1, Targets: held}
-		v.update(func(b *inventory.Book) bool { return b.Told(v.self.Entry, v.lastReport) })
+		v.lastReport = inventory.Report{Life: v.self.Incarnation, Number: v.lastReport.Number + 1, Targets: held}
+		v.update(func(b *inventory.Table) bool { return b.Apply(v.self.Entry, v.lastReport) })
 	}
 	v.reportToKeepers(ctx)
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -26,7 +26,7 @@
 	}
 	defer func() {
 		if e.opts.Settings.Discover {
-			e.members.Add(membership.Peer{Entry: e.self.Entry, Zone: e.self.Zone, Reserve: e.opts.Settings.DataDir != "", Carries: assign.Carries(e.opts.Settings.Processors, e.opts.Settings.LinkMbps)})
+			e.members.Add(membership.Peer{Entry: e.self.Entry, Zone: e.self.Zone, Reserve: e.opts.Settings.DataDir != "", Carries: assign.TargetCapacity(e.opts.Settings.Processors, e.opts.Settings.LinkMbps)})
 		}
 	}()
 	var recordProof func(job.Owner, time.Time)
--- a/internal/entry/recall.go
+++ b/internal/entry/recall.go
@@ -39,10 +39,10 @@
 
 // queryLastHeld queries each entry with a disk once it is discovered, and returns the most
 // recent report.
-func (v *targetInventory) queryLastHeld(ctx context.Context) (last inventory.Held, answers int) {
+func (v *targetInventory) queryLastHeld(ctx context.Context) (last inventory.Report, answers int) {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
-	replies := make(chan inventory.Held)
+	replies := make(chan inventory.Report)
 	queried := &querySet{entries: map[job.EntryID]bool{}}
 	tick := time.NewTicker(recallInterval)
 	defer tick.Stop()
@@ -92,7 +92,7 @@
 }
 
 // queryKeepers queries the keepers that were discovered since the last call.
-func (v *targetInventory) queryKeepers(ctx context.Context, queried *querySet, replies chan<- inventory.Held) {
+func (v *targetInventory) queryKeepers(ctx context.Context, queried *querySet, replies chan<- inventory.Report) {
 	view := v.members.View()
 	for _, m := range view.List {
 		if !m.Reserve || m.Zone != v.self.Zone || !queried.add(m.Entry) {
--- a/internal/entry/rights.go
+++ b/internal/entry/rights.go
@@ -27,7 +27,7 @@
 	reading func() awake.Reading
 
 	mu     sync.Mutex
-	unread ownership.Unread
+	unread ownership.UnreadTracker
 	// lastRun is the time of the last owner check, selfLease this entry's right to act for
 	// itself as of then.
 	lastRun   time.Time
@@ -69,11 +69,11 @@
 // Left implements job.Right.
 func (r right) Left() time.Duration {
 	now := r.clock.Now()
-	left := r.lease.OverBy().Sub(now)
+	left := r.lease.WorkDeadline().Sub(now)
 	if r.deadline.IsZero() {
 		return left
 	}
-	return min(left, r.deadline.Sub(now)+ownership.Over-ownership.Term)
+	return min(left, r.deadline.Sub(now)+ownership.MaxWorkAfterProof-ownership.Term)
 }
 
 // Lost implements job.Right.
@@ -101,7 +101,7 @@
 // ownRight returns this entry's right to act for its own callers, for a request that was
 // read now. It reports false if the request may have been waiting since before a pause.
 func (r *rights) ownRight(remaining time.Duration) (job.Right, bool) {
-	lease := r.table.Of(r.clock.Now(), r.self)
+	lease := r.table.Lookup(r.clock.Now(), r.self)
 	if lease == nil || r.mayReadStale() {
 		return nil, false
 	}
@@ -115,12 +115,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastRun = now
-	r.unread.Ran(gap)
-	if r.selfLease != nil && r.table.Of(now, r.self) == nil {
+	r.unread.Advance(gap)
+	if r.selfLease != nil && r.table.Lookup(now, r.self) == nil {
 		r.selfLease = nil
 		r.unread.Paused()
 	}
-	if !r.unread.Old() {
+	if !r.unread.Pending() {
 		r.selfLease = r.table.Renew(now, r.self, now)
 	}
 }
@@ -131,7 +131,7 @@
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.unread.Old() || now.Sub(r.lastRun) >= ownership.BrokenOff
+	return r.unread.Pending() || now.Sub(r.lastRun) >= ownership.MinPause
 }
 
 // mayProve reports whether this entry may prove to a holder that it is alive: it has read
@@ -176,7 +176,7 @@
 // was abandoned or why an entry did not answer; otherwise only missing log lines would show
 // a pause.
 func (e *Entry) recordPause(gap time.Duration) {
-	if gap < ownership.BrokenOff {
+	if gap < ownership.MinPause {
 		return
 	}
 	cause := fmt.Sprintf("the process did not run for %d ms", gap.Milliseconds())
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -51,7 +51,7 @@
 	mu            sync.Mutex
 	announcements map[job.TargetID]announcement
 	// recentlySent are the targets that were recently sent to a holder, by pool.
-	recentlySent map[string][]assign.Passed
+	recentlySent map[string][]assign.SentTarget
 	// transfers are the held targets to transfer, with their new holders. Targets that
 	// are controlled by one entry at a time are transferred once they are idle.
 	transfers map[job.TargetID]job.EntryID
@@ -133,10 +133,10 @@
 	now := time.Now()
 	if t.announcements[announced.ID].holder != holder {
 		if t.recentlySent == nil {
-			t.recentlySent = map[string][]assign.Passed{}
+			t.recentlySent = map[string][]assign.SentTarget{}
 		}
 		pool := announced.Pool
-		t.recentlySent[pool] = append(assign.Prune(now, t.recentlySent[pool]), assign.Passed{Holder: holder, At: now})
+		t.recentlySent[pool] = append(assign.DropExpired(now, t.recentlySent[pool]), assign.SentTarget{Holder: holder, At: now})
 	}
 	t.announcements[announced.ID] = announcement{announced, holder, now.Add(lease)}
 }
--- a/internal/handover/remote.go
+++ b/internal/handover/remote.go
@@ -38,7 +38,7 @@
 	// unreachable holder ended. By then the holder's right to act for the owner has expired
 	// and its runs have ended; if the holder itself has stopped, the leases of its targets
 	// have expired.
-	holderLostAfter = ownership.Over + 100*time.Millisecond
+	holderLostAfter = ownership.MaxWorkAfterProof + 100*time.Millisecond
 	// maxStaleAnswers bounds how often an offer is sent because the proof that this owner is
 	// alive was too old. Each such answer brings a newer one.
 	maxStaleAnswers = 3
--- a/internal/holder/crash_test.go
+++ b/internal/holder/crash_test.go
@@ -118,7 +118,7 @@
 			2: {"erred task_crashes_targets": 1},
 			3: {"erred task_crashes_targets": 1},
 		} {
-			h.opts.Crashes = crash.NewBook()
+			h.opts.Crashes = crash.NewTracker()
 			*ended = 0
 			b := transientOf("guilty", job.EntryID(fmt.Sprint("e", lost)))
 			for i := range lost {
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -44,7 +44,7 @@
 	Log     *slog.Logger
 	// Crashes tracks the tasks that were running on targets when these ended; nil creates
 	// a new tracker. OnCrash, if not nil, is called for each such task.
-	Crashes *crash.Book
+	Crashes *crash.Tracker
 	OnCrash func(owner job.Owner, t crash.Task)
 	// Scheduler disables individual scheduling decisions, for measurements.
 	Scheduler scheduler.Options
@@ -81,7 +81,7 @@
 		opts.Log = slog.New(slog.DiscardHandler)
 	}
 	if opts.Crashes == nil {
-		opts.Crashes = crash.NewBook()
+		opts.Crashes = crash.NewTracker()
 	}
 	if opts.OnCrash == nil {
 		opts.OnCrash = func(job.Owner, crash.Task) {}
--- a/internal/holder/pool.go
+++ b/internal/holder/pool.go
@@ -210,10 +210,10 @@
 	for i := range offered.Tasks {
 		t := &offered.Tasks[i]
 		task := crash.Task{Submission: offered.Submission, Index: t.Index}
-		p.holder.opts.Crashes.Learn(now, task, t.Crashed)
-		v := p.holder.opts.Crashes.Verdict(task)
-		t.Crashed = v.Sure
-		if v.GiveUp {
+		p.holder.opts.Crashes.Merge(now, task, t.Crashed)
+		v := p.holder.opts.Crashes.Decide(task)
+		t.Crashed = v.Counted
+		if v.Abandon {
 			crashing = i
 		}
 	}
--- a/internal/holder/task.go
+++ b/internal/holder/task.go
@@ -84,7 +84,7 @@
 		return
 	}
 	if res.Status == job.TaskDone && (len(l.start.Task.Crashed) > 0 || b.ran[l.start.Index]) {
-		p.holder.opts.Crashes.Cleared(crash.Task{Submission: l.start.Submission, Index: l.start.Index})
+		p.holder.opts.Crashes.Clear(crash.Task{Submission: l.start.Submission, Index: l.start.Index})
 	}
 	p.sched.Finished(now, l.start.Key, resultOf(res))
 	if b.reported {
@@ -164,21 +164,21 @@
 		return false
 	}
 	v := p.recordTargetLoss(now, l.batch, l.start.Index, l.link, res.TargetEnded)
-	l.crashed, l.crashLimitReached = v.Sure, v.GiveUp
+	l.crashed, l.crashLimitReached = v.Counted, v.Abandon
 	return v.Suspect
 }
 
 // recordTargetLoss counts the loss of a target against a task that ran there.
-func (p *pool) recordTargetLoss(now time.Time, b *batch, index int, l *link, sure bool) crash.Verdict {
+func (p *pool) recordTargetLoss(now time.Time, b *batch, index int, l *link, sure bool) crash.Decision {
 	task := crash.Task{Submission: b.key.id, Index: index}
-	before := p.holder.opts.Crashes.Verdict(task)
-	v := p.holder.opts.Crashes.Lost(now, task, crash.Ended{Target: l.target.ID, Place: l.target.Address, Held: p.targetCount(), Sure: sure})
-	if !v.Suspect || len(v.Lost) == len(before.Lost) && v.GiveUp == before.GiveUp {
+	before := p.holder.opts.Crashes.Decide(task)
+	v := p.holder.opts.Crashes.RecordLoss(now, task, crash.Ended{Target: l.target.ID, Place: l.target.Address, Held: p.targetCount(), Sure: sure})
+	if !v.Suspect || len(v.Lost) == len(before.Lost) && v.Abandon == before.Abandon {
 		return v // the target was merely unresponsive, or the loss is already recorded
 	}
 	cause := fmt.Sprintf("targets that ended while it ran on them: %v", v.Lost)
 	ev := timeline.Event{Kind: timeline.TaskSuspect, Submission: b.key.id, Task: index, Target: l.target.ID, Count: len(v.Lost), Cause: cause}
-	if v.GiveUp {
+	if v.Abandon {
 		ev.Reason = job.TaskCrashes
 	}
 	p.record(ev)
--- a/internal/membership/large_test.go
+++ b/internal/membership/large_test.go
@@ -88,7 +88,7 @@
 
 // The sizes of the simulated fleets. A run with 1,000 entries takes ten seconds.
 const (
-	justLarge = watch.Everybody + 6
+	justLarge = watch.WatchAllMax + 6
 	typical   = 152
 	thousand  = 1000
 )
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -196,7 +196,7 @@
 	for _, p := range peers {
 		changes = append(changes, m.detector.Add(now, p)...)
 	}
-	grown := m.watchSet.All && len(m.detector.peers) > watch.Everybody
+	grown := m.watchSet.All && len(m.detector.peers) > watch.WatchAllMax
 	m.publish()
 	m.mu.Unlock()
 	m.reportChanges(changes)
@@ -372,7 +372,7 @@
 // busyEntries returns the entries that share transient work with this one. In a small fleet
 // every entry is watched closely anyway.
 func (m *Membership) busyEntries() []job.EntryID {
-	if m.opts.Busy == nil || len(m.View().List)-1 <= watch.Everybody {
+	if m.opts.Busy == nil || len(m.View().List)-1 <= watch.WatchAllMax {
 		return nil
 	}
 	return m.opts.Busy()
--- a/internal/membership/pace_test.go
+++ b/internal/membership/pace_test.go
@@ -40,7 +40,7 @@
 // shares work which are less frequent than its right to act requires.
 func TestHeartbeatsOfALargeFleetAreBounded(t *testing.T) {
 	const seconds, limit = 30, 30 // heartbeats a second, two busy entries included
-	for _, others := range []int{watch.Everybody + 1, 151, 300, 999} {
+	for _, others := range []int{watch.WatchAllMax + 1, 151, 300, 999} {
 		now := time.Now()
 		m := newAmongOthers(others, "e-007", "e-013")
 		last := map[job.EntryID]time.Time{}
@@ -66,9 +66,9 @@
 // added.
 func TestSmallFleetsKeepTheFullPace(t *testing.T) {
 	now := time.Now()
-	m := newAmongOthers(watch.Everybody)
+	m := newAmongOthers(watch.WatchAllMax)
 	for range 8 {
-		qt.Assert(t, heartbeatsDue(m, now), qt.HasLen, watch.Everybody)
+		qt.Assert(t, heartbeatsDue(m, now), qt.HasLen, watch.WatchAllMax)
 		now = now.Add(InZone.Period)
 	}
 	for _, p := range m.detector.peers {
--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -53,7 +53,7 @@
 	return next(ctx, f)
 }
 
-func (a *Admit) admit(s *job.Submission) quota.Verdict {
+func (a *Admit) admit(s *job.Submission) quota.Decision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.quotas.Admit(time.Now(), s.Team, len(s.Tasks))
--- a/internal/pipeline/run.go
+++ b/internal/pipeline/run.go
@@ -59,7 +59,7 @@
 	Holders Holders
 	Events  timeline.Sink
 	// Crashes tracks the tasks whose targets ended while running them; nil disables this.
-	Crashes *crash.Book
+	Crashes *crash.Tracker
 }
 
 // flight is a submission whose tasks are placed on holders.
@@ -104,7 +104,7 @@
 	}
 	var out []int
 	for i := range fl.flow.Submission.Tasks {
-		if fl.stage.Crashes.Verdict(fl.task(i)).GiveUp {
+		if fl.stage.Crashes.Decide(fl.task(i)).Abandon {
 			out = append(out, i)
 		}
 	}
@@ -122,7 +122,7 @@
 	}
 	now := time.Now()
 	for i := range outcomes {
-		fl.stage.Crashes.Learn(now, fl.task(outcomes[i].Index), outcomes[i].Crashed)
+		fl.stage.Crashes.Merge(now, fl.task(outcomes[i].Index), outcomes[i].Crashed)
 	}
 }
 
@@ -333,7 +333,7 @@
 	for i, task := range p.Tasks {
 		b.Tasks[i] = job.BatchTask{Index: task, TaskSpec: s.Tasks[task]}
 		if fl.stage.Crashes != nil {
-			b.Tasks[i].Crashed = fl.stage.Crashes.Verdict(fl.task(task)).Sure
+			b.Tasks[i].Crashed = fl.stage.Crashes.Decide(fl.task(task)).Counted
 		}
 	}
 	fl.stage.Events.Record(timeline.Event{Kind: timeline.BatchOffered, Submission: s.ID, Peer: p.Holder, Count: len(p.Tasks), Took: b.Waited})
--- a/internal/policy/admission/admission.go
+++ b/internal/policy/admission/admission.go
@@ -48,13 +48,13 @@
 	Higher, Class, Team float64
 	// Share is the team's part of the slots as long as all waiting teams keep waiting.
 	Share float64
-	// Least is the number of slots that the class gets, whatever more urgent work is
-	// queued, once one of its jobs has waited for LeastAfter.
-	Least      float64
-	LeastAfter time.Duration
-	// Standing is how long the class has had waiting tasks without interruption. It is
+	// MinSlots is the number of slots that the class gets, whatever more urgent work is
+	// queued, once one of its jobs has waited for MinSlotsAfter.
+	MinSlots      float64
+	MinSlotsAfter time.Duration
+	// QueuedFor is how long the class has had waiting tasks without interruption. It is
 	// zero for a team with hardly any waiting tasks.
-	Standing time.Duration
+	QueuedFor time.Duration
 }
 
 // Request describes the properties of a job that matter for admission.
@@ -69,8 +69,8 @@
 	Remaining time.Duration
 }
 
-// Verdict is the admission decision and the expected times on which it is based.
-type Verdict struct {
+// Decision is the admission decision and the expected times on which it is based.
+type Decision struct {
 	Admit      bool
 	Reason     job.Reason
 	Wait       time.Duration
@@ -89,18 +89,18 @@
 	first := (b.Higher + min(b.Class, b.Team/share)) / slots
 	last := (b.Higher + min(b.Class+r.Work, (b.Team+r.Work)/share)) / slots
 	wait, finish = seconds(first), seconds(last)+r.Longest
-	if b.Least <= 0 {
+	if b.MinSlots <= 0 {
 		return wait, finish
 	}
-	aged := b.LeastAfter + seconds(min(b.Class, b.Team/share)/b.Least)
-	agedFinish := aged + seconds(r.Work/b.Least) + r.Longest
+	aged := b.MinSlotsAfter + seconds(min(b.Class, b.Team/share)/b.MinSlots)
+	agedFinish := aged + seconds(r.Work/b.MinSlots) + r.Longest
 	return min(wait, aged), min(finish, agedFinish)
 }
 
 // Decide decides whether the job is admitted.
-func Decide(b Backlog, r Request) Verdict {
+func Decide(b Backlog, r Request) Decision {
 	wait, finish := Expect(b, r)
-	v := Verdict{Wait: wait, Finish: finish}
+	v := Decision{Wait: wait, Finish: finish}
 	if r.Remaining > 0 {
 		return decideWithDeadline(v, b, r)
 	}
@@ -139,10 +139,10 @@
 	if r.Urgency == job.UrgencyBatch {
 		return 1
 	}
-	return int(min(maxBoundDivisor, max(1, b.Standing/standingThreshold)))
+	return int(min(maxBoundDivisor, max(1, b.QueuedFor/standingThreshold)))
 }
 
-func decideWithDeadline(v Verdict, b Backlog, r Request) Verdict {
+func decideWithDeadline(v Decision, b Backlog, r Request) Decision {
 	runTime := v.Finish - v.Wait
 	factor := time.Duration(waitSafetyFactor * boundDivisor(b, r))
 	if runTime+factor*v.Wait <= r.Remaining {
--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -25,14 +25,14 @@
 		{"deadline too near on an idle pool", Backlog{Slots: 400, Free: 400, Share: 1}, within(200 * ms), false, job.DeadlineTooNear},
 		{"the wait leaves most of the slack", Backlog{Slots: 400, Class: 60, Team: 60, Share: 1}, within(time.Second), true, ""},
 		{"the wait would use all the slack", Backlog{Slots: 400, Class: 240, Team: 240, Share: 1}, within(time.Second), false, job.Overloaded},
-		{"a standing queue may be an eighth as long", Backlog{Slots: 400, Class: 60, Team: 60, Share: 1, Standing: 10 * time.Second}, within(time.Second), false, job.Overloaded},
-		{"a shorter standing queue", Backlog{Slots: 400, Class: 7, Team: 7, Share: 1, Standing: 10 * time.Second}, within(time.Second), true, ""},
-		{"a standing queue, without a deadline", Backlog{Slots: 400, Class: 180, Team: 180, Share: 1, Standing: 10 * time.Second}, one, false, job.Overloaded},
+		{"a standing queue may be an eighth as long", Backlog{Slots: 400, Class: 60, Team: 60, Share: 1, QueuedFor: 10 * time.Second}, within(time.Second), false, job.Overloaded},
+		{"a shorter standing queue", Backlog{Slots: 400, Class: 7, Team: 7, Share: 1, QueuedFor: 10 * time.Second}, within(time.Second), true, ""},
+		{"a standing queue, without a deadline", Backlog{Slots: 400, Class: 180, Team: 180, Share: 1, QueuedFor: 10 * time.Second}, one, false, job.Overloaded},
 		{"long wait without a deadline", Backlog{Slots: 400, Class: 400, Team: 400, Share: 1}, one, false, job.Overloaded},
 		{"only other teams wait", Backlog{Slots: 400, Class: 4000, Team: 0, Share: 0.5}, one, true, ""},
 		{"own work of a team with a small share", Backlog{Slots: 400, Class: 4000, Team: 100, Share: 0.1}, one, false, job.Overloaded},
 		{"more urgent work goes first", Backlog{Slots: 400, Higher: 400, Share: 1}, one, false, job.Overloaded},
-		{"no slot but the class's own share", Backlog{Slots: 0, Higher: 400, Share: 1, Least: 25, LeastAfter: 500 * ms}, one, true, ""},
+		{"no slot but the class's own share", Backlog{Slots: 0, Higher: 400, Share: 1, MinSlots: 25, MinSlotsAfter: 500 * ms}, one, true, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/policy/assign/assign.go
+++ b/internal/policy/assign/assign.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// PerHolder is the maximum number of targets that one entry holds before another
+	// MaxTargetsPerHolder is the maximum number of targets that one entry holds before another
 	// entry takes a part. With many more, the loss of one holder would affect a large
 	// part of its zone.
-	PerHolder = 20
+	MaxTargetsPerHolder = 20
 	// processorsPerTarget and linkBytesPerTarget are the cost of a busy target for its
 	// holder: in processors, and in bytes per second for starts, their ends and lease
 	// renewals.
@@ -56,14 +56,14 @@
 	Carries int
 }
 
-// Carries returns how many targets an entry can hold with the given number of processors
+// TargetCapacity returns how many targets an entry can hold with the given number of processors
 // and link bandwidth in megabits per second. Zero means unknown.
 //
 // If the number were the same on all VMs, those with a slow link would hold more targets
 // than the link can serve: start requests queue before the link, are considered lost and
 // are sent again, until hardly any request arrives in time.
-func Carries(processors, linkMbps float64) int {
-	n := float64(PerHolder)
+func TargetCapacity(processors, linkMbps float64) int {
+	n := float64(MaxTargetsPerHolder)
 	if processors > 0 {
 		n = min(n, holdingProcessorShare*processors/processorsPerTarget)
 	}
@@ -79,7 +79,7 @@
 // capacity of them all, so that all entries compute the same result and none is
 // overloaded.
 func lowestCapacity(usable []Holder) int {
-	lowest := PerHolder
+	lowest := MaxTargetsPerHolder
 	for _, h := range usable {
 		if h.Carries > 0 {
 			lowest = min(lowest, h.Carries)
@@ -91,10 +91,10 @@
 // Active returns the entries that hold the pool's targets, in their order.
 func Active(holders []Holder) []Holder { return activeFor(holders, 0) }
 
-// Taking returns the entries of which one is to hold one more target: the active holders
+// Candidates returns the entries of which one is to hold one more target: the active holders
 // with free capacity, including a new one if needed, or all active holders if none has
 // free capacity.
-func Taking(holders []Holder) []Holder {
+func Candidates(holders []Holder) []Holder {
 	all := activeFor(holders, 1)
 	capacity := lowestCapacity(all)
 	var notFull []Holder
--- a/internal/policy/assign/assign_test.go
+++ b/internal/policy/assign/assign_test.go
@@ -40,7 +40,7 @@
 	}{
 		{"an empty pool is assigned to the first entry", holders(0, 0, 0), "a"},
 		{"a small pool stays with its holder even if it is not the first", holders(0, 16, 0), "b"},
-		{"more targets than one holder can carry need a second one", holders(PerHolder+8, 0, 0), "ab"},
+		{"more targets than one holder can carry need a second one", holders(MaxTargetsPerHolder+8, 0, 0), "ab"},
 		{"the pool of a holder that is down goes to the next entry", down, "b"},
 		{"two halves of a pool are merged after a partition", holders(10, 6, 0), "a"},
 		{"the number of holders does not oscillate at its bound", holders(20, 13, 0), "ab"},
--- a/internal/policy/assign/held.go
+++ b/internal/policy/assign/held.go
@@ -14,15 +14,15 @@
 // them on again. Callers of its zone would be refused meanwhile. Targets that this entry
 // has sent since the last report therefore count as well.
 
-// Reported is the number of targets of a pool that a holder reported.
-type Reported struct {
+// HolderReport is the number of targets of a pool that a holder reported.
+type HolderReport struct {
 	Entry   job.EntryID
 	Targets int
 	At      time.Time
 }
 
-// Passed is a target that this entry has sent to a holder.
-type Passed struct {
+// SentTarget is a target that this entry has sent to a holder.
+type SentTarget struct {
 	Holder job.EntryID
 	At     time.Time
 }
@@ -31,8 +31,8 @@
 // several report intervals.
 const inTransitFor = time.Second
 
-// Held returns how many targets each entry holds, including targets in transit.
-func Held(now time.Time, reported []Reported, passed []Passed) map[job.EntryID]int {
+// CountTargets returns how many targets each entry holds, including targets in transit.
+func CountTargets(now time.Time, reported []HolderReport, passed []SentTarget) map[job.EntryID]int {
 	held, reportedAt := map[job.EntryID]int{}, map[job.EntryID]time.Time{}
 	for _, r := range reported {
 		held[r.Entry], reportedAt[r.Entry] = r.Targets, r.At
@@ -45,8 +45,8 @@
 	return held
 }
 
-// Prune drops the sent targets that no longer count as in transit.
-func Prune(now time.Time, passed []Passed) []Passed {
+// DropExpired drops the sent targets that no longer count as in transit.
+func DropExpired(now time.Time, passed []SentTarget) []SentTarget {
 	kept := passed[:0]
 	for _, p := range passed {
 		if now.Sub(p.At) < inTransitFor {
--- a/internal/policy/crash/crash.go
+++ b/internal/policy/crash/crash.go
@@ -76,14 +76,14 @@
 	tasks  []Task
 }
 
-// Verdict is the decision on a task whose target ended while the task ran on it.
-type Verdict struct {
-	// GiveUp says that the task is abandoned and not started again. Otherwise Suspect
+// Decision is the decision on a task whose target ended while the task ran on it.
+type Decision struct {
+	// Abandon says that the task is abandoned and not started again. Otherwise Suspect
 	// says that the task must run alone on its target.
-	GiveUp, Suspect bool
-	// Lost are the targets that ended while the task ran on them, Sure those of them that
+	Abandon, Suspect bool
+	// Lost are the targets that ended while the task ran on them, Counted those of them that
 	// count against it. Both are reported to other entries.
-	Lost, Sure []job.TargetID
+	Lost, Counted []job.TargetID
 }
 
 // Ended describes a target that ended while a task ran on it.
@@ -98,9 +98,9 @@
 	Sure bool
 }
 
-// Book keeps the loss records of tasks at one entry. It reads no clock and is safe for
+// Tracker keeps the loss records of tasks at one entry. It reads no clock and is safe for
 // concurrent use.
-type Book struct {
+type Tracker struct {
 	mu      sync.Mutex
 	records map[Task]*lossRecord
 	// order lists the tasks of records, oldest first.
@@ -110,14 +110,14 @@
 	lastLossAt map[string]time.Time
 }
 
-// NewBook returns a Book without records.
-func NewBook() *Book {
-	return &Book{records: map[Task]*lossRecord{}, lastLossAt: map[string]time.Time{}}
+// NewTracker returns a Tracker without records.
+func NewTracker() *Tracker {
+	return &Tracker{records: map[Task]*lossRecord{}, lastLossAt: map[string]time.Time{}}
 }
 
-// Lost records that a target ended while a task ran on it, and returns the decision on
+// RecordLoss records that a target ended while a task ran on it, and returns the decision on
 // the task.
-func (b *Book) Lost(now time.Time, t Task, e Ended) Verdict {
+func (b *Tracker) RecordLoss(now time.Time, t Task, e Ended) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expire(now)
@@ -137,34 +137,34 @@
 
 // isUnstable reports whether targets at a place end by themselves: one ended there before
 // this event, and targets ended at few other places.
-func (b *Book) isUnstable(now time.Time, e Ended) bool {
+func (b *Tracker) isUnstable(now time.Time, e Ended) bool {
 	last, ended := b.lastLossAt[e.Place]
 	return ended && now.Sub(last) > eventWindow && float64(len(b.lastLossAt)) <= maxUnstableShare*float64(e.Held)
 }
 
-// Verdict returns the decision on a task that is about to be started.
-func (b *Book) Verdict(t Task) Verdict {
+// Decide returns the decision on a task that is about to be started.
+func (b *Tracker) Decide(t Task) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.decide(t)
 }
 
-func (b *Book) decide(t Task) Verdict {
+func (b *Tracker) decide(t Task) Decision {
 	a := b.records[t]
 	if a == nil {
-		return Verdict{}
+		return Decision{}
 	}
-	return Verdict{
-		GiveUp:  len(a.counted) >= maxCounted || len(a.lost) >= maxLost,
+	return Decision{
+		Abandon: len(a.counted) >= maxCounted || len(a.lost) >= maxLost,
 		Suspect: len(a.counted) > 0 || len(a.lost) >= maxCounted,
 		Lost:    slices.Clone(a.lost),
-		Sure:    slices.Clone(a.counted),
+		Counted: slices.Clone(a.counted),
 	}
 }
 
-// Learn merges losses that another entry counts against a task. Losses that are already
+// Merge merges losses that another entry counts against a task. Losses that are already
 // known add nothing, whatever their path and however often they arrive.
-func (b *Book) Learn(now time.Time, t Task, lost []job.TargetID) {
+func (b *Tracker) Merge(now time.Time, t Task, lost []job.TargetID) {
 	if len(lost) == 0 {
 		return
 	}
@@ -179,21 +179,21 @@
 	}
 }
 
-// Cleared drops the losses counted against a task that completed.
-func (b *Book) Cleared(t Task) {
+// Clear drops the losses counted against a task that completed.
+func (b *Tracker) Clear(t Task) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.records, t)
 }
 
 // Len returns the number of tasks that have a record.
-func (b *Book) Len() int {
+func (b *Tracker) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.records)
 }
 
-func (b *Book) addLosses(now time.Time, t Task, lost ...job.TargetID) *lossRecord {
+func (b *Tracker) addLosses(now time.Time, t Task, lost ...job.TargetID) *lossRecord {
 	a := b.records[t]
 	if a == nil {
 		a = &lossRecord{}
@@ -210,7 +210,7 @@
 }
 
 // noteLoss adds a task to the loss of its target.
-func (b *Book) noteLoss(now time.Time, t Task, target job.TargetID) {
+func (b *Tracker) noteLoss(now time.Time, t Task, target job.TargetID) {
 	for i := range b.recent {
 		if b.recent[i].target == target {
 			b.recent[i].tasks = append(b.recent[i].tasks, t)
@@ -222,7 +222,7 @@
 
 // isMassLoss reports whether the losses within the event window involve many targets and
 // no job ran on most of them.
-func (b *Book) isMassLoss(held int) bool {
+func (b *Tracker) isMassLoss(held int) bool {
 	n := len(b.recent)
 	if n < massMinTargets || float64(n) < massMinShare*float64(held) {
 		return false
@@ -248,7 +248,7 @@
 // excuseMassLoss removes the losses of the event window from all records except those of
 // tasks that had a loss before, even an excused one: where many tasks crash targets, some
 // of their crashes coincide too.
-func (b *Book) excuseMassLoss() {
+func (b *Tracker) excuseMassLoss() {
 	for i := range b.recent {
 		for _, t := range b.recent[i].tasks {
 			a := b.records[t]
@@ -263,7 +263,7 @@
 }
 
 // expire drops old losses and records.
-func (b *Book) expire(now time.Time) {
+func (b *Tracker) expire(now time.Time) {
 	b.recent = slices.DeleteFunc(b.recent, func(l loss) bool { return now.Sub(l.at) > eventWindow })
 	for place, last := range b.lastLossAt {
 		if now.Sub(last) > unstablePeriod {
--- a/internal/policy/crash/crash_test.go
+++ b/internal/policy/crash/crash_test.go
@@ -16,83 +16,83 @@
 
 // Guards against a task that takes down target after target.
 func TestTaskIsAbandonedAfterSecondLostTarget(t *testing.T) {
-	b := NewBook()
-	v := b.Lost(start, task("a", 0), endedTarget("t1"))
-	qt.Assert(t, v.GiveUp, qt.IsFalse)
+	b := NewTracker()
+	v := b.RecordLoss(start, task("a", 0), endedTarget("t1"))
+	qt.Assert(t, v.Abandon, qt.IsFalse)
 	qt.Assert(t, v.Suspect, qt.IsTrue)
-	v = b.Lost(start.Add(3*time.Second), task("a", 0), endedTarget("t2"))
-	qt.Assert(t, v.GiveUp, qt.IsTrue)
+	v = b.RecordLoss(start.Add(3*time.Second), task("a", 0), endedTarget("t2"))
+	qt.Assert(t, v.Abandon, qt.IsTrue)
 	qt.Assert(t, v.Lost, qt.DeepEquals, []job.TargetID{"t1", "t2"})
-	qt.Assert(t, b.Verdict(task("a", 1)).Suspect, qt.IsFalse)
+	qt.Assert(t, b.Decide(task("a", 1)).Suspect, qt.IsFalse)
 }
 
 // Guards against bystanders that are abandoned, and against suspicion that outlasts the
 // task's success.
 func TestBystanderThatCompletesIsCleared(t *testing.T) {
-	b := NewBook()
-	b.Lost(start, task("guilty", 0), endedTarget("t1"))
-	b.Lost(start, task("bystander", 3), endedTarget("t1"))
-	b.Cleared(task("bystander", 3))
-	v := b.Lost(start.Add(time.Minute), task("bystander", 3), endedTarget("t9"))
-	qt.Assert(t, v.GiveUp, qt.IsFalse)
+	b := NewTracker()
+	b.RecordLoss(start, task("guilty", 0), endedTarget("t1"))
+	b.RecordLoss(start, task("bystander", 3), endedTarget("t1"))
+	b.Clear(task("bystander", 3))
+	v := b.RecordLoss(start.Add(time.Minute), task("bystander", 3), endedTarget("t9"))
+	qt.Assert(t, v.Abandon, qt.IsFalse)
 }
 
 // Guards against jobs that are abandoned because a rack failure, a network partition or a
 // power loss ended their targets twice.
 func TestMassLossCountsAgainstNoTask(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for round := range 2 {
 		at := start.Add(time.Duration(round) * 10 * time.Second)
 		for i := range 6 {
-			b.Lost(at, task(fmt.Sprint("job", i), 0), endedTarget(job.TargetID(fmt.Sprintf("t%d-%d", round, i))))
+			b.RecordLoss(at, task(fmt.Sprint("job", i), 0), endedTarget(job.TargetID(fmt.Sprintf("t%d-%d", round, i))))
 		}
 	}
 	for i := range 6 {
-		qt.Assert(t, b.Verdict(task(fmt.Sprint("job", i), 0)).GiveUp, qt.IsFalse, qt.Commentf("job %d", i))
+		qt.Assert(t, b.Decide(task(fmt.Sprint("job", i), 0)).Abandon, qt.IsFalse, qt.Commentf("job %d", i))
 	}
-	once := NewBook()
+	once := NewTracker()
 	for i := range 6 {
-		once.Lost(start, task(fmt.Sprint("job", i), 0), endedTarget(job.TargetID(fmt.Sprint("t", i))))
+		once.RecordLoss(start, task(fmt.Sprint("job", i), 0), endedTarget(job.TargetID(fmt.Sprint("t", i))))
 	}
 	for i := range 6 {
-		qt.Assert(t, once.Verdict(task(fmt.Sprint("job", i), 0)).Suspect, qt.IsFalse, qt.Commentf("job %d", i))
+		qt.Assert(t, once.Decide(task(fmt.Sprint("job", i), 0)).Suspect, qt.IsFalse, qt.Commentf("job %d", i))
 	}
 }
 
 // Guards against mistaking a wide job whose tasks all crash their targets for a power
 // loss.
 func TestLossesOfOneJobAreNotAMassLoss(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for i := range 8 {
-		b.Lost(start, task("guilty", i), endedTarget(job.TargetID(fmt.Sprint("t", i))))
-		b.Lost(start, task(fmt.Sprint("bystander", i), 0), endedTarget(job.TargetID(fmt.Sprint("t", i))))
+		b.RecordLoss(start, task("guilty", i), endedTarget(job.TargetID(fmt.Sprint("t", i))))
+		b.RecordLoss(start, task(fmt.Sprint("bystander", i), 0), endedTarget(job.TargetID(fmt.Sprint("t", i))))
 	}
-	qt.Assert(t, b.Verdict(task("guilty", 0)).Suspect, qt.IsTrue)
-	qt.Assert(t, b.Verdict(task("bystander0", 0)).Suspect, qt.IsTrue)
+	qt.Assert(t, b.Decide(task("guilty", 0)).Suspect, qt.IsTrue)
+	qt.Assert(t, b.Decide(task("bystander0", 0)).Suspect, qt.IsTrue)
 }
 
 // Guards against a loss record that is lost together with its holder or owner, and one
 // that grows when the same losses are reported again.
 func TestRecordsAreShared(t *testing.T) {
-	first, second := NewBook(), NewBook()
-	first.Lost(start, task("a", 0), endedTarget("t1"))
+	first, second := NewTracker(), NewTracker()
+	first.RecordLoss(start, task("a", 0), endedTarget("t1"))
 	for range 3 {
-		second.Learn(start, task("a", 0), first.Verdict(task("a", 0)).Sure)
+		second.Merge(start, task("a", 0), first.Decide(task("a", 0)).Counted)
 	}
-	qt.Assert(t, second.Verdict(task("a", 0)).GiveUp, qt.IsFalse)
-	qt.Assert(t, second.Verdict(task("a", 0)).Suspect, qt.IsTrue)
-	qt.Assert(t, second.Lost(start, task("a", 0), endedTarget("t1")).GiveUp, qt.IsFalse)
-	qt.Assert(t, second.Lost(start, task("a", 0), endedTarget("t2")).GiveUp, qt.IsTrue)
+	qt.Assert(t, second.Decide(task("a", 0)).Abandon, qt.IsFalse)
+	qt.Assert(t, second.Decide(task("a", 0)).Suspect, qt.IsTrue)
+	qt.Assert(t, second.RecordLoss(start, task("a", 0), endedTarget("t1")).Abandon, qt.IsFalse)
+	qt.Assert(t, second.RecordLoss(start, task("a", 0), endedTarget("t2")).Abandon, qt.IsTrue)
 }
 
 // Guards against memory that grows with the number of tasks that were ever suspected.
 func TestRecordsAreBounded(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for i := range 2 * maxRecords {
-		b.Learn(start, task("job", i), []job.TargetID{"t"})
+		b.Merge(start, task("job", i), []job.TargetID{"t"})
 	}
 	qt.Assert(t, b.Len() <= maxRecords+1, qt.IsTrue, qt.Commentf("%d", b.Len()))
-	b.Learn(start.Add(retention+time.Second), task("late", 0), []job.TargetID{"t"})
+	b.Merge(start.Add(retention+time.Second), task("late", 0), []job.TargetID{"t"})
 	qt.Assert(t, b.Len(), qt.Equals, 1)
 }
 
@@ -104,25 +104,25 @@
 
 // Guards against jobs that are abandoned because of a machine that goes down repeatedly.
 func TestUnstableTargetsCountAgainstNoTask(t *testing.T) {
-	b := NewBook()
-	down := func(at time.Duration, id string, tasks ...Task) (v Verdict) {
+	b := NewTracker()
+	down := func(at time.Duration, id string, tasks ...Task) (v Decision) {
 		for _, x := range tasks {
-			v = b.Lost(start.Add(at), x, Ended{Target: job.TargetID(id), Place: "10.0.0.1:80", Held: 20, Sure: true})
+			v = b.RecordLoss(start.Add(at), x, Ended{Target: job.TargetID(id), Place: "10.0.0.1:80", Held: 20, Sure: true})
 		}
 		return v
 	}
 	down(0, "t1", task("a", 0))
-	qt.Assert(t, down(3*time.Second, "t2", task("b", 0)).GiveUp, qt.IsFalse)
-	qt.Assert(t, b.Lost(start.Add(6*time.Second), task("b", 0), endedTarget("t9")).GiveUp, qt.IsFalse)
-	qt.Assert(t, b.Lost(start.Add(9*time.Second), task("b", 0), endedTarget("t10")).GiveUp, qt.IsTrue)
+	qt.Assert(t, down(3*time.Second, "t2", task("b", 0)).Abandon, qt.IsFalse)
+	qt.Assert(t, b.RecordLoss(start.Add(6*time.Second), task("b", 0), endedTarget("t9")).Abandon, qt.IsFalse)
+	qt.Assert(t, b.RecordLoss(start.Add(9*time.Second), task("b", 0), endedTarget("t10")).Abandon, qt.IsTrue)
 }
 
 // Guards against a task that makes target after target unresponsive, and against tasks
 // that become suspects because one target was unreachable.
 func TestTaskIsAbandonedAfterThirdUnconfirmedLoss(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	unresponsive := func(id job.TargetID) Ended { return Ended{Target: id, Place: "at " + string(id), Held: 20} }
-	qt.Assert(t, b.Lost(start, task("a", 0), unresponsive("t1")).Suspect, qt.IsFalse)
-	qt.Assert(t, b.Lost(start.Add(time.Second), task("a", 0), unresponsive("t2")).Suspect, qt.IsTrue)
-	qt.Assert(t, b.Lost(start.Add(2*time.Second), task("a", 0), unresponsive("t3")).GiveUp, qt.IsTrue)
+	qt.Assert(t, b.RecordLoss(start, task("a", 0), unresponsive("t1")).Suspect, qt.IsFalse)
+	qt.Assert(t, b.RecordLoss(start.Add(time.Second), task("a", 0), unresponsive("t2")).Suspect, qt.IsTrue)
+	qt.Assert(t, b.RecordLoss(start.Add(2*time.Second), task("a", 0), unresponsive("t3")).Abandon, qt.IsTrue)
 }
--- a/internal/policy/estimate/estimate.go
+++ b/internal/policy/estimate/estimate.go
@@ -34,9 +34,9 @@
 	maxKinds = 4096
 )
 
-// Unknown is the run time assumed for a task without a declared or measured one. It is
+// DefaultRunTime is the run time assumed for a task without a declared or measured one. It is
 // the middle, on a log scale, of the 50 ms to 1 s that most tasks run.
-const Unknown = 220 * time.Millisecond
+const DefaultRunTime = 220 * time.Millisecond
 
 // Sketch is a histogram of run times in which old samples lose weight.
 type Sketch struct {
@@ -110,8 +110,8 @@
 // Kind identifies the tasks that are measured together.
 type Kind struct{ Service, Name string }
 
-// Book holds the sketches of one pool.
-type Book struct {
+// Estimator holds the sketches of one pool.
+type Estimator struct {
 	kinds    map[Kind]*Sketch
 	services map[string]*Sketch
 	all      Sketch
@@ -121,18 +121,18 @@
 	sinceThreshold int
 }
 
-// New returns a Book without measurements.
-func New() *Book {
-	return &Book{kinds: map[Kind]*Sketch{}, services: map[string]*Sketch{}}
+// New returns an Estimator without measurements.
+func New() *Estimator {
+	return &Estimator{kinds: map[Kind]*Sketch{}, services: map[string]*Sketch{}}
 }
 
 // Started records the start of a task.
-func (b *Book) Started(now time.Time, k Kind) {
+func (b *Estimator) Started(now time.Time, k Kind) {
 	b.sketchFor(k).begin(now, now)
 }
 
 // Ended records the end of a started task, whatever its outcome.
-func (b *Book) Ended(k Kind, started time.Time) {
+func (b *Estimator) Ended(k Kind, started time.Time) {
 	b.sketchFor(k).end(started)
 }
 
@@ -163,7 +163,7 @@
 
 // sketchFor returns the sketch of a kind. Kinds without a name and new kinds beyond
 // maxKinds share the sketch of their service.
-func (b *Book) sketchFor(k Kind) *Sketch {
+func (b *Estimator) sketchFor(k Kind) *Sketch {
 	if s := b.kinds[k]; s != nil {
 		return s
 	}
@@ -180,8 +180,8 @@
 	return s
 }
 
-// Learn records the run time of a finished task.
-func (b *Book) Learn(now time.Time, k Kind, ran time.Duration) {
+// Record records the run time of a finished task.
+func (b *Estimator) Record(now time.Time, k Kind, ran time.Duration) {
 	b.all.Add(ran)
 	b.sinceThreshold++
 	s := b.sketchFor(k)
@@ -198,16 +198,16 @@
 	reliableFor     = 5 * time.Second
 )
 
-// Sure reports whether the run time of a kind is reliable enough to refuse a job because
+// Reliable reports whether the run time of a kind is reliable enough to refuse a job because
 // of it.
-func (b *Book) Sure(now time.Time, k Kind) bool {
+func (b *Estimator) Reliable(now time.Time, k Kind) bool {
 	s := b.sketch(k)
 	return s != nil && s.samples >= reliableSamples && now.Sub(s.lastLearned) < reliableFor
 }
 
 // Mean returns the expected run time of a task. declared is the run time declared by the
 // caller, zero if none.
-func (b *Book) Mean(now time.Time, k Kind, declared time.Duration) time.Duration {
+func (b *Estimator) Mean(now time.Time, k Kind, declared time.Duration) time.Duration {
 	s := b.sketch(k)
 	if s == nil {
 		return orDefault(declared)
@@ -224,7 +224,7 @@
 // Blend returns the expected run time of a task of a job whose declared run time is as
 // reliable as the mean of its kind. Both are off by tens of percent, so their geometric
 // mean is off by less than either.
-func (b *Book) Blend(now time.Time, k Kind, declared time.Duration) time.Duration {
+func (b *Estimator) Blend(now time.Time, k Kind, declared time.Duration) time.Duration {
 	mean := b.Mean(now, k, declared)
 	if declared <= 0 || mean <= 0 {
 		return mean
@@ -236,7 +236,7 @@
 	if declared > 0 {
 		return declared
 	}
-	return Unknown
+	return DefaultRunTime
 }
 
 // withDeclared combines the measured mean with the declared run time as a weak prior.
@@ -254,7 +254,7 @@
 
 // Longest returns the expected run time of the longest of n tasks of a kind, or zero if
 // too few tasks were measured.
-func (b *Book) Longest(k Kind, n int) time.Duration {
+func (b *Estimator) Longest(k Kind, n int) time.Duration {
 	s := b.sketch(k)
 	if s == nil || s.samples < reliableSamples {
 		return 0
@@ -262,7 +262,7 @@
 	return s.Quantile(float64(n) / float64(n+1))
 }
 
-func (b *Book) sketch(k Kind) *Sketch {
+func (b *Estimator) sketch(k Kind) *Sketch {
 	if s := b.kinds[k]; s != nil {
 		return s
 	}
@@ -280,7 +280,7 @@
 
 // LongThreshold returns the run time above which a task counts as long in this pool, or
 // zero if nothing was measured.
-func (b *Book) LongThreshold() time.Duration {
+func (b *Estimator) LongThreshold() time.Duration {
 	if b.threshold == 0 || b.sinceThreshold >= thresholdRefresh {
 		b.sinceThreshold = 0
 		b.threshold = time.Duration(longFactor * float64(b.all.Quantile(longQuantile)))
@@ -288,11 +288,11 @@
 	return b.threshold
 }
 
-// PoolMean returns the mean run time over all tasks of the pool, or Unknown if nothing
+// PoolMean returns the mean run time over all tasks of the pool, or DefaultRunTime if nothing
 // was measured.
-func (b *Book) PoolMean() time.Duration {
+func (b *Estimator) PoolMean() time.Duration {
 	if b.all.weight == 0 {
-		return Unknown
+		return DefaultRunTime
 	}
 	return b.all.Mean()
 }
--- a/internal/policy/estimate/estimate_test.go
+++ b/internal/policy/estimate/estimate_test.go
@@ -28,15 +28,15 @@
 		b := New()
 		qt.Assert(t, b.Mean(start, kind, declared), qt.Equals, declared)
 		for range 40 {
-			b.Learn(start, kind, 300*ms)
+			b.Record(start, kind, 300*ms)
 		}
 		qt.Assert(t, near(b.Mean(start, kind, declared), 300*ms, 0.45), qt.IsTrue)
 		for range 300 {
-			b.Learn(start, kind, 300*ms)
+			b.Record(start, kind, 300*ms)
 		}
 		qt.Assert(t, near(b.Mean(start, kind, declared), 300*ms, 0.1), qt.IsTrue)
 		for range 600 {
-			b.Learn(start, kind, 900*ms)
+			b.Record(start, kind, 900*ms)
 		}
 		qt.Assert(t, near(b.Mean(start, kind, 0), 900*ms, 0.1), qt.IsTrue)
 	}
@@ -52,7 +52,7 @@
 	qt.Assert(t, b.Mean(start.Add(2*time.Second), kind, 0) >= 2*time.Second, qt.IsTrue)
 	for range 10 {
 		b.Ended(kind, start)
-		b.Learn(start.Add(3*time.Second), kind, 3*time.Second)
+		b.Record(start.Add(3*time.Second), kind, 3*time.Second)
 	}
 	b.Started(start, kind)
 	qt.Assert(t, near(b.Mean(start.Add(time.Minute), kind, 0), 3*time.Second, 0.01), qt.IsTrue)
@@ -75,7 +75,7 @@
 func TestKindsAreBounded(t *testing.T) {
 	b := New()
 	for i := range 2 * maxKinds {
-		b.Learn(start, Kind{"thumb", time.Duration(i).String()}, 100*ms)
+		b.Record(start, Kind{"thumb", time.Duration(i).String()}, 100*ms)
 	}
 	qt.Assert(t, len(b.kinds) <= maxKinds, qt.IsTrue)
 	qt.Assert(t, near(b.Mean(start, Kind{"thumb", "another"}, 0), 100*ms, 0.01), qt.IsTrue)
--- a/internal/policy/fairqueue/fairqueue.go
+++ b/internal/policy/fairqueue/fairqueue.go
@@ -186,8 +186,8 @@
 // Teams returns the number of known teams.
 func (q *Queue[T]) Teams() int { return len(q.flows) }
 
-// Hold adds to the slots that a team holds. A negative number releases slots.
-func (q *Queue[T]) Hold(team string, slots float64) {
+// AddHeldSlots adds to the slots that a team holds. A negative number releases slots.
+func (q *Queue[T]) AddHeldSlots(team string, slots float64) {
 	f := q.flow(team)
 	f.heldSlots = max(0, f.heldSlots+slots)
 	q.reorder(f)
--- a/internal/policy/fairqueue/fairqueue_test.go
+++ b/internal/policy/fairqueue/fairqueue_test.go
@@ -22,7 +22,7 @@
 	for range n {
 		team := q.Head().flow.name
 		got[team]++
-		q.Hold(team, 1)
+		q.AddHeldSlots(team, 1)
 	}
 	return got
 }
--- a/internal/policy/health/health.go
+++ b/internal/policy/health/health.go
@@ -348,9 +348,9 @@
 	return minStandardErrors * math.Sqrt(f.spread/samples)
 }
 
-// Pace returns the expected run time on a target as a multiple of that on the median
+// RelativeRunTime returns the expected run time on a target as a multiple of that on the median
 // target, shrunk towards 1 while few tasks were measured.
-func (f *Fleet) Pace(t *Target) float64 {
+func (f *Fleet) RelativeRunTime(t *Target) float64 {
 	const prior = 4 // number of samples at which the estimate has half the weight
 	return math.Exp((t.logSlowdown - f.median) * t.samples / (t.samples + prior))
 }
--- a/internal/policy/inventory/inventory.go
+++ b/internal/policy/inventory/inventory.go
@@ -18,8 +18,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Held is a report of the targets that one incarnation of an entry holds.
-type Held struct {
+// Report is a report of the targets that one incarnation of an entry holds.
+type Report struct {
 	Life job.Incarnation `cbor:"1,keyasint,omitempty"`
 	// Number increases with each report of one incarnation.
 	Number  uint64       `cbor:"2,keyasint,omitempty"`
@@ -27,35 +27,35 @@
 }
 
 // After reports whether the report is more recent than another one of the same entry.
-func (h *Held) After(other *Held) bool {
+func (h *Report) After(other *Report) bool {
 	if h.Life != other.Life {
 		return h.Life > other.Life
 	}
 	return h.Number > other.Number
 }
 
-// Book holds the latest reports of all entries. The zero value is empty. The caller must
+// Table holds the latest reports of all entries. The zero value is empty. The caller must
 // provide locking.
-type Book struct {
-	held    map[job.EntryID]Held
+type Table struct {
+	held    map[job.EntryID]Report
 	holders map[job.TargetID]job.EntryID
 }
 
-// Load returns a Book with the reports that an earlier one returned from All.
-func Load(held map[job.EntryID]Held) *Book {
-	b := &Book{}
+// Load returns a Table with the reports that an earlier one returned from All.
+func Load(held map[job.EntryID]Report) *Table {
+	b := &Table{}
 	for _, entry := range slices.Sorted(maps.Keys(held)) {
-		b.Told(entry, held[entry])
+		b.Apply(entry, held[entry])
 	}
 	return b
 }
 
 // All returns what each entry holds. The caller must not modify it.
-func (b *Book) All() map[job.EntryID]Held { return b.held }
+func (b *Table) All() map[job.EntryID]Report { return b.held }
 
-// Told applies an entry's report and reports whether it changed the entry's list of
+// Apply applies an entry's report and reports whether it changed the entry's list of
 // targets. The latest report about a target counts, whichever entry sent it.
-func (b *Book) Told(from job.EntryID, h Held) (changed bool) {
+func (b *Table) Apply(from job.EntryID, h Report) (changed bool) {
 	old, known := b.held[from]
 	if known && !h.After(&old) {
 		return false
@@ -75,15 +75,15 @@
 	return !slices.Equal(old.Targets, h.Targets)
 }
 
-func (b *Book) init() {
+func (b *Table) init() {
 	if b.held == nil {
-		b.held, b.holders = map[job.EntryID]Held{}, map[job.TargetID]job.EntryID{}
+		b.held, b.holders = map[job.EntryID]Report{}, map[job.TargetID]job.EntryID{}
 	}
 }
 
 // remove removes a target from an entry's list. It copies the list, which may be in use
 // elsewhere.
-func (b *Book) remove(entry job.EntryID, id job.TargetID) {
+func (b *Table) remove(entry job.EntryID, id job.TargetID) {
 	h := b.held[entry]
 	h.Targets = slices.DeleteFunc(slices.Clone(h.Targets), func(t job.Target) bool { return t.ID == id })
 	b.held[entry] = h
@@ -91,7 +91,7 @@
 
 // Moved records that a target was handed to an entry that has not reported it yet, and
 // reports whether this is a change.
-func (b *Book) Moved(t job.Target, to job.EntryID) (changed bool) {
+func (b *Table) Moved(t job.Target, to job.EntryID) (changed bool) {
 	from, listed := b.holders[t.ID]
 	if listed && from == to {
 		return false
@@ -108,7 +108,7 @@
 }
 
 // Drop removes a target that left or has ended, and reports whether it was known.
-func (b *Book) Drop(id job.TargetID) (changed bool) {
+func (b *Table) Drop(id job.TargetID) (changed bool) {
 	entry, listed := b.holders[id]
 	if !listed {
 		return false
@@ -118,18 +118,18 @@
 	return true
 }
 
-// Of returns the targets that an entry is remembered to hold.
-func (b *Book) Of(entry job.EntryID) (Held, bool) {
+// Get returns the targets that an entry is remembered to hold.
+func (b *Table) Get(entry job.EntryID) (Report, bool) {
 	h, known := b.held[entry]
 	return h, known
 }
 
 // HolderOf returns the entry that is remembered to hold a target; empty for none.
-func (b *Book) HolderOf(id job.TargetID) job.EntryID { return b.holders[id] }
+func (b *Table) HolderOf(id job.TargetID) job.EntryID { return b.holders[id] }
 
 // Keep removes the entries that are permanently gone, so that VMs that are replaced every
 // day don't fill the memory, and reports whether there were any.
-func (b *Book) Keep(known func(job.EntryID) bool) (changed bool) {
+func (b *Table) Keep(known func(job.EntryID) bool) (changed bool) {
 	for entry, h := range b.held {
 		if known(entry) {
 			continue
@@ -144,4 +144,4 @@
 }
 
 // Targets returns the number of remembered targets.
-func (b *Book) Targets() int { return len(b.holders) }
+func (b *Table) Targets() int { return len(b.holders) }
--- a/internal/policy/inventory/inventory_test.go
+++ b/internal/policy/inventory/inventory_test.go
@@ -16,8 +16,8 @@
 	return out
 }
 
-func heldIDs(b *Book, entry job.EntryID) []job.TargetID {
-	h, _ := b.Of(entry)
+func heldIDs(b *Table, entry job.EntryID) []job.TargetID {
+	h, _ := b.Get(entry)
 	out := []job.TargetID{}
 	for i := range h.Targets {
 		out = append(out, h.Targets[i].ID)
@@ -28,13 +28,13 @@
 // Reports overtake each other, and are repeated after a lost answer. An older report must
 // not bring back targets that have left.
 func TestLatestReportCounts(t *testing.T) {
-	b := &Book{}
-	qt.Assert(t, b.Told("a", Held{Life: 1, Number: 2, Targets: targets("t1", "t2")}), qt.IsTrue)
-	qt.Assert(t, b.Told("a", Held{Life: 1, Number: 1, Targets: targets("t3")}), qt.IsFalse)
+	b := &Table{}
+	qt.Assert(t, b.Apply("a", Report{Life: 1, Number: 2, Targets: targets("t1", "t2")}), qt.IsTrue)
+	qt.Assert(t, b.Apply("a", Report{Life: 1, Number: 1, Targets: targets("t3")}), qt.IsFalse)
 	qt.Assert(t, heldIDs(b, "a"), qt.DeepEquals, []job.TargetID{"t1", "t2"})
-	qt.Assert(t, b.Told("a", Held{Life: 2, Number: 1, Targets: targets("t1", "t2")}), qt.IsFalse)
-	qt.Assert(t, b.Told("a", Held{Life: 1, Number: 9, Targets: nil}), qt.IsFalse)
-	qt.Assert(t, b.Told("a", Held{Life: 2, Number: 2, Targets: targets("t2")}), qt.IsTrue)
+	qt.Assert(t, b.Apply("a", Report{Life: 2, Number: 1, Targets: targets("t1", "t2")}), qt.IsFalse)
+	qt.Assert(t, b.Apply("a", Report{Life: 1, Number: 9, Targets: nil}), qt.IsFalse)
+	qt.Assert(t, b.Apply("a", Report{Life: 2, Number: 2, Targets: targets("t2")}), qt.IsTrue)
 	qt.Assert(t, heldIDs(b, "a"), qt.DeepEquals, []job.TargetID{"t2"})
 	qt.Assert(t, b.HolderOf("t1"), qt.Equals, job.EntryID(""))
 }
@@ -42,9 +42,9 @@
 // A target moves from one holder to another while the first is restarted. The first must
 // not reclaim the target: it would stop what runs there.
 func TestTargetHasOneHolder(t *testing.T) {
-	b := &Book{}
-	b.Told("a", Held{Life: 1, Number: 1, Targets: targets("t1", "t2")})
-	b.Told("b", Held{Life: 1, Number: 1, Targets: targets("t2", "t3")})
+	b := &Table{}
+	b.Apply("a", Report{Life: 1, Number: 1, Targets: targets("t1", "t2")})
+	b.Apply("b", Report{Life: 1, Number: 1, Targets: targets("t2", "t3")})
 	qt.Assert(t, heldIDs(b, "a"), qt.DeepEquals, []job.TargetID{"t1"})
 	qt.Assert(t, b.HolderOf("t2"), qt.Equals, job.EntryID("b"))
 	qt.Assert(t, b.Moved(targets("t1")[0], "b"), qt.IsTrue)
@@ -52,15 +52,15 @@
 	qt.Assert(t, heldIDs(b, "a"), qt.DeepEquals, []job.TargetID{})
 	qt.Assert(t, heldIDs(b, "b"), qt.DeepEquals, []job.TargetID{"t2", "t3", "t1"})
 	// The entry's own next report takes precedence over a recorded move.
-	b.Told("b", Held{Life: 1, Number: 2, Targets: targets("t2")})
+	b.Apply("b", Report{Life: 1, Number: 2, Targets: targets("t2")})
 	qt.Assert(t, b.HolderOf("t1"), qt.Equals, job.EntryID(""))
 }
 
 // A target announces that it leaves, and all VMs lose power right after. The target must
 // not be used again.
 func TestLeavingTargetIsForgotten(t *testing.T) {
-	b := &Book{}
-	b.Told("a", Held{Life: 1, Number: 1, Targets: targets("t1", "t2")})
+	b := &Table{}
+	b.Apply("a", Report{Life: 1, Number: 1, Targets: targets("t1", "t2")})
 	qt.Assert(t, b.Drop("t1"), qt.IsTrue)
 	qt.Assert(t, b.Drop("t1"), qt.IsFalse)
 	again := Load(b.All())
@@ -69,9 +69,9 @@
 }
 
 func TestGoneEntriesAreForgotten(t *testing.T) {
-	b := &Book{}
-	b.Told("a", Held{Life: 1, Number: 1, Targets: targets("t1")})
-	b.Told("b", Held{Life: 1, Number: 1, Targets: targets("t2")})
+	b := &Table{}
+	b.Apply("a", Report{Life: 1, Number: 1, Targets: targets("t1")})
+	b.Apply("b", Report{Life: 1, Number: 1, Targets: targets("t2")})
 	qt.Assert(t, b.Keep(func(e job.EntryID) bool { return e == "b" }), qt.IsTrue)
 	qt.Assert(t, b.Keep(func(e job.EntryID) bool { return e == "b" }), qt.IsFalse)
 	qt.Assert(t, b.HolderOf("t1"), qt.Equals, job.EntryID(""))
--- a/internal/policy/ownership/model_steps_test.go
+++ b/internal/policy/ownership/model_steps_test.go
@@ -169,8 +169,8 @@
 	t.Sweep(now)
 	after := t.Renew(now, owner, now)
 	w.ownerLease = fromLease(after)
-	u := Unread{left: time.Duration(w.backlogLeft) * step}
-	u.Ran(gap)
+	u := UnreadTracker{left: time.Duration(w.backlogLeft) * step}
+	u.Advance(gap)
 	if after.Resumed() && after != before {
 		u.Paused()
 	}
@@ -355,7 +355,7 @@
 	case l.expired:
 		return run
 	}
-	return max(run, min(stopBoundSteps, atMost(l.real().OverBy().Sub(now))))
+	return max(run, min(stopBoundSteps, atMost(l.real().WorkDeadline().Sub(now))))
 }
 
 // offerJob lets the owner offer the job, also repeatedly with a more recent proof.
@@ -378,8 +378,8 @@
 	}
 	n := w
 	n.unread = false
-	u := Unread{left: time.Duration(w.backlogLeft) * step}
-	fresh := newTable(w.ownerLease, true).Of(now, owner) != nil && !u.Old()
+	u := UnreadTracker{left: time.Duration(w.backlogLeft) * step}
+	fresh := newTable(w.ownerLease, true).Lookup(now, owner) != nil && !u.Pending()
 	if !fresh && !s.has(unreadCountsAsNew) {
 		n.ended, n.cancel = true, cancelConfirmed
 		visit("the owner refuses the request", n)
--- a/internal/policy/ownership/model_test.go
+++ b/internal/policy/ownership/model_test.go
@@ -126,9 +126,9 @@
 // The time limits of the model are no more generous than those of the code: rounded to
 // the unsafe side they keep their order.
 func TestStepsPreserveOrderOfTimes(t *testing.T) {
-	qt.Assert(t, atMost(Over)+hangUpSteps < resubmitSteps, qt.IsTrue)
-	qt.Assert(t, atMost(Over) < holderTimeoutSteps, qt.IsTrue)
-	qt.Assert(t, termSteps < atMost(Over), qt.IsTrue)
-	qt.Assert(t, readSteps < int8(Backlog/step), qt.IsTrue)
+	qt.Assert(t, atMost(MaxWorkAfterProof)+hangUpSteps < resubmitSteps, qt.IsTrue)
+	qt.Assert(t, atMost(MaxWorkAfterProof) < holderTimeoutSteps, qt.IsTrue)
+	qt.Assert(t, termSteps < atMost(MaxWorkAfterProof), qt.IsTrue)
+	qt.Assert(t, readSteps < int8(LongPauseReadTime/step), qt.IsTrue)
 	qt.Assert(t, Term%step, qt.Equals, time.Duration(0))
 }
--- a/internal/policy/ownership/model_world_test.go
+++ b/internal/policy/ownership/model_world_test.go
@@ -43,7 +43,7 @@
 	resubmitDelay = 1300 * time.Millisecond
 	// holderTimeout is when an owner considers an unresponsive holder's work over, as in
 	// internal/handover.
-	holderTimeout = Over + 100*time.Millisecond
+	holderTimeout = MaxWorkAfterProof + 100*time.Millisecond
 	// hangUpDelay is how soon a running entry notices that a caller has hung up.
 	hangUpDelay = 50 * time.Millisecond
 	// offerRetryDelay and cancelRetryDelay are how soon a lost cancellation is sent
@@ -53,7 +53,7 @@
 	offerRetryDelay  = 500 * time.Millisecond
 	cancelRetryDelay = 20 * time.Millisecond
 	// readTime is how long an entry must run to read its unread messages: a VM with 0.2
-	// of a core runs for 50 ms of Backlog.
+	// of a core runs for 50 ms of LongPauseReadTime.
 	readTime = 100 * time.Millisecond
 	none     = -1
 )
@@ -152,7 +152,7 @@
 
 	unread         bool  // the request lies unread in the owner's socket
 	ranUnread      int8  // how long the owner ran while the request lay unread
-	backlogLeft    int8  // time left of the owner's Unread
+	backlogLeft    int8  // time left of the owner's UnreadTracker
 	ownerLease     lease // the owner's lease for its own work
 	ranSinceLoss   int8  // how long the owner ran since it lost its caller
 	ranSinceResume int8  // how long the owner ran since it resumed
@@ -347,7 +347,7 @@
 	if s.has(unboundedTargetLease) {
 		return atMost(targetLease)
 	}
-	return max(atMost(min(targetLease, l.real().OverBy().Sub(now))), none)
+	return max(atMost(min(targetLease, l.real().WorkDeadline().Sub(now))), none)
 }
 
 // newTable returns a Table with at most one lease.
--- a/internal/policy/ownership/ownership.go
+++ b/internal/policy/ownership/ownership.go
@@ -30,12 +30,12 @@
 	// used up. A shorter term would end healthy work. The upper limit is the time after
 	// which a caller resubmits its job, minus the time needed to stop running work.
 	Term = 950 * time.Millisecond
-	// Over is how long after a proof of liveness work may still run for its owner: until
+	// MaxWorkAfterProof is how long after a proof of liveness work may still run for its owner: until
 	// the end of the term plus the time of a stop, or until the end of the target's
-	// lease, which is not renewed beyond Over. Callers resubmit a job 1.3 s after they
+	// lease, which is not renewed beyond MaxWorkAfterProof. Callers resubmit a job 1.3 s after they
 	// have lost its owner; the difference allows for clocks that differ by 2% and for the
 	// network delay of a start request.
-	Over = 1200 * time.Millisecond
+	MaxWorkAfterProof = 1200 * time.Millisecond
 )
 
 // Lease is the right to act for one incarnation of an owner. It begins with the first
@@ -52,9 +52,9 @@
 	expired bool
 }
 
-// Begin returns a lease that begins with a proof of liveness. resumed says that an
+// NewLease returns a lease that begins with a proof of liveness. resumed says that an
 // earlier lease of the same owner had expired.
-func Begin(proof time.Time, resumed bool) *Lease {
+func NewLease(proof time.Time, resumed bool) *Lease {
 	return &Lease{firstProof: proof, resumed: resumed, proof: proof, lost: make(chan struct{})}
 }
 
@@ -103,9 +103,9 @@
 	return l.proof
 }
 
-// OverBy returns the time from which nothing may run under the lease. Each proof extends
+// WorkDeadline returns the time from which nothing may run under the lease. Each proof extends
 // it.
-func (l *Lease) OverBy() time.Time { return l.Proof().Add(Over) }
+func (l *Lease) WorkDeadline() time.Time { return l.Proof().Add(MaxWorkAfterProof) }
 
 // Table holds the leases of all owners at one entry. It is safe for concurrent use.
 type Table struct {
@@ -145,7 +145,7 @@
 	if t.leases == nil {
 		t.leases, t.expired = map[job.Owner]*Lease{}, map[job.Owner]bool{}
 	}
-	l = Begin(proof, t.expired[owner])
+	l = NewLease(proof, t.expired[owner])
 	t.leases[owner] = l
 	return l
 }
@@ -159,8 +159,8 @@
 	t.expired[owner] = true
 }
 
-// Of returns the owner's lease that is in effect now, or nil.
-func (t *Table) Of(now time.Time, owner job.Owner) *Lease {
+// Lookup returns the owner's lease that is in effect now, or nil.
+func (t *Table) Lookup(now time.Time, owner job.Owner) *Lease {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := t.leases[owner]
--- a/internal/policy/ownership/ownership_test.go
+++ b/internal/policy/ownership/ownership_test.go
@@ -66,7 +66,7 @@
 	var table Table
 	qt.Assert(t, table.Renew(at(3000), owner, at(3000).Add(-Term-time.Millisecond)), qt.IsNil)
 	qt.Assert(t, table.Renew(at(3000), owner, at(3001)), qt.IsNil)
-	qt.Assert(t, table.Of(at(3000), owner), qt.IsNil)
+	qt.Assert(t, table.Lookup(at(3000), owner), qt.IsNil)
 }
 
 // Proofs may overtake each other: an older one does not shorten the lease.
@@ -75,7 +75,7 @@
 	l := table.Renew(at(600), owner, at(500))
 	table.Renew(at(700), owner, at(100))
 	qt.Assert(t, l.Proof().Equal(at(500)), qt.IsTrue)
-	qt.Assert(t, l.OverBy().Equal(at(500).Add(Over)), qt.IsTrue)
+	qt.Assert(t, l.WorkDeadline().Equal(at(500).Add(MaxWorkAfterProof)), qt.IsTrue)
 }
 
 // The next incarnation of an owner inherits nothing from the lease of the previous one.
@@ -87,7 +87,7 @@
 	table.Renew(at(900), later, at(900))
 	table.Renew(at(1800), later, at(1800))
 	qt.Assert(t, first.Holds(at(1800)), qt.IsFalse)
-	qt.Assert(t, table.Of(at(1800), later), qt.IsNotNil)
+	qt.Assert(t, table.Lookup(at(1800), later), qt.IsNotNil)
 }
 
 func TestSweepReportsExpiredOwnersOnce(t *testing.T) {
@@ -103,6 +103,6 @@
 func TestWorkEndsBeforeCallersResubmit(t *testing.T) {
 	const resubmitDelay = 1300 * time.Millisecond
 	const stopTime = 150 * time.Millisecond
-	qt.Assert(t, Term+stopTime <= Over, qt.IsTrue)
-	qt.Assert(t, time.Duration(float64(Over)*1.02) < resubmitDelay, qt.IsTrue)
+	qt.Assert(t, Term+stopTime <= MaxWorkAfterProof, qt.IsTrue)
+	qt.Assert(t, time.Duration(float64(MaxWorkAfterProof)*1.02) < resubmitDelay, qt.IsTrue)
 }
--- a/internal/policy/pace/pace.go
+++ b/internal/policy/pace/pace.go
@@ -22,13 +22,13 @@
 	moveFactor = 3
 )
 
-// FirstLook returns how long after its start a run is first checked.
-func FirstLook(expected time.Duration) time.Duration {
+// FirstPoll returns how long after its start a run is first checked.
+func FirstPoll(expected time.Duration) time.Duration {
 	return time.Duration(overdueFactor*float64(expected)) + minOverdue
 }
 
-// NextLook returns the time until the next check of a run.
-func NextLook(expected time.Duration) time.Duration { return expected/2 + minOverdue }
+// NextPoll returns the time until the next check of a run.
+func NextPoll(expected time.Duration) time.Duration { return expected/2 + minOverdue }
 
 // Move reports whether a run that has completed the given percentage of its work should
 // be moved, because restarting it elsewhere is expected to finish much sooner.
--- a/internal/policy/pace/pace_test.go
+++ b/internal/policy/pace/pace_test.go
@@ -12,7 +12,7 @@
 // the whole run again.
 func TestMove(t *testing.T) {
 	const expected = 900 * time.Millisecond
-	at := FirstLook(expected)
+	at := FirstPoll(expected)
 	qt.Assert(t, Move(expected, at, 0), qt.IsTrue)
 	qt.Assert(t, Move(expected, at, 3), qt.IsTrue)
 	qt.Assert(t, Move(expected, at, 20), qt.IsTrue)
--- a/internal/policy/patience/patience.go
+++ b/internal/policy/patience/patience.go
@@ -31,19 +31,19 @@
 	minPart = 0.1
 )
 
-// Book tracks how many jobs were admitted and how many admitted jobs started too late.
+// Tracker tracks how many jobs were admitted and how many admitted jobs started too late.
 // The zero value is a pool without history.
-type Book struct {
+type Tracker struct {
 	lateShare float64
 	admitted  map[string]float64
 }
 
 // Started records that an admitted job has started or was abandoned, and whether that was
 // too late for its objective.
-func (b *Book) Started(late bool) { updateMean(&b.lateShare, late, lateWeight) }
+func (b *Tracker) Started(late bool) { updateMean(&b.lateShare, late, lateWeight) }
 
 // Decided records whether a job of a kind was admitted.
-func (b *Book) Decided(kind string, admitted bool) {
+func (b *Tracker) Decided(kind string, admitted bool) {
 	if b.admitted == nil {
 		b.admitted = map[string]float64{}
 	}
@@ -61,7 +61,7 @@
 }
 
 // admittedShare is the share of a kind's recent jobs that were admitted.
-func (b *Book) admittedShare(kind string) float64 {
+func (b *Tracker) admittedShare(kind string) float64 {
 	if s, known := b.admitted[kind]; known {
 		return s
 	}
@@ -69,14 +69,14 @@
 }
 
 // Part returns the part of its slack that a job of a kind may be expected to wait.
-func (b *Book) Part(kind string) float64 {
+func (b *Tracker) Part(kind string) float64 {
 	part := max(minPart, 1-latePenalty*b.lateShare)
 	part += fairnessGain * (b.meanAdmittedShare() - b.admittedShare(kind))
 	return min(1, max(minPart, part))
 }
 
 // meanAdmittedShare is the mean admitted share of all kinds.
-func (b *Book) meanAdmittedShare() float64 {
+func (b *Tracker) meanAdmittedShare() float64 {
 	sum := 0.0
 	for _, s := range b.admitted {
 		sum += s
@@ -88,7 +88,7 @@
 }
 
 // Forget drops the kinds that are no longer services.
-func (b *Book) Forget(gone func(kind string) bool) {
+func (b *Tracker) Forget(gone func(kind string) bool) {
 	for kind := range b.admitted {
 		if gone(kind) {
 			delete(b.admitted, kind)
--- a/internal/policy/patience/patience_test.go
+++ b/internal/policy/patience/patience_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestFullSlackWhileJobsStartInTime(t *testing.T) {
-	var b Book
+	var b Tracker
 	for range 100 {
 		b.Decided("a", true)
 		b.Started(false)
@@ -19,7 +19,7 @@
 // Admitted jobs start too late, so their callers waited in vain and fewer may wait; when
 // jobs start in time again, more may.
 func TestPartFollowsLateStarts(t *testing.T) {
-	var b Book
+	var b Tracker
 	for range 40 {
 		b.Started(true)
 	}
@@ -33,7 +33,7 @@
 // A wide kind is nearly always refused while a narrow one is admitted. So that callers of
 // the wide kind don't see only refusals, it may wait longer and the narrow one less.
 func TestKindsAreBalanced(t *testing.T) {
-	var b Book
+	var b Tracker
 	for range 100 {
 		b.Started(true)
 		b.Decided("wide", false)
--- a/internal/policy/quota/quota.go
+++ b/internal/policy/quota/quota.go
@@ -26,8 +26,8 @@
 // is unknown. It is the upper end of the run time of most tasks.
 const fullQueueRetry = time.Second
 
-// Verdict is the decision on a job. Either all tasks of the job are admitted or none.
-type Verdict struct {
+// Decision is the decision on a job. Either all tasks of the job are admitted or none.
+type Decision struct {
 	Allowed bool
 	// Reason is OverQuota if the team's quota is exhausted, UnknownTeam if the team is
 	// not configured. RetryAfter is the time after which the same job would be admitted
@@ -72,10 +72,10 @@
 
 // Admit decides on n tasks of one job and charges them to the team's quota if it admits
 // them. Call Done once the admitted tasks have ended.
-func (q *Quotas) Admit(now time.Time, team string, n int) Verdict {
+func (q *Quotas) Admit(now time.Time, team string, n int) Decision {
 	t, known := q.file.Team(team)
 	if !known {
-		return Verdict{Reason: job.UnknownTeam, Detail: "team " + team + " is not configured"}
+		return Decision{Reason: job.UnknownTeam, Detail: "team " + team + " is not configured"}
 	}
 	rate := float64(t.TasksPerSecond) * q.share
 	b := q.bucket(now, q.bucketKey(team), rate)
@@ -84,12 +84,12 @@
 	}
 	if rate > 0 {
 		if wait := b.waitFor(now, rate, n); wait > 0 {
-			return Verdict{Reason: job.OverQuota, Detail: "tasks_per_second of team " + team + " is used up", RetryAfter: wait}
+			return Decision{Reason: job.OverQuota, Detail: "tasks_per_second of team " + team + " is used up", RetryAfter: wait}
 		}
 		b.tokens -= float64(n)
 	}
 	b.queued += n
-	return Verdict{Allowed: true}
+	return Decision{Allowed: true}
 }
 
 // bucketKey returns the key of a team's bucket. If the file configures no teams, all
@@ -111,19 +111,19 @@
 	return b
 }
 
-func (q *Quotas) queueFull(now time.Time, t config.Team, b *bucket, n int) (Verdict, bool) {
+func (q *Quotas) queueFull(now time.Time, t config.Team, b *bucket, n int) (Decision, bool) {
 	bound := t.MaxQueuedTasks
 	if bound == 0 && q.file != nil {
 		bound = q.file.Limits.MaxQueuedTasks
 	}
 	if bound == 0 || b.queued == 0 || b.queued+n <= bound {
-		return Verdict{}, false
+		return Decision{}, false
 	}
 	wait := fullQueueRetry
 	if b.drainRate > 0 {
 		wait = seconds(float64(b.queued+n-bound) / b.drainRate)
 	}
-	return Verdict{Reason: job.OverQuota, Detail: "max_queued_tasks of team " + t.Name + " is reached", RetryAfter: wait}, true
+	return Decision{Reason: job.OverQuota, Detail: "max_queued_tasks of team " + t.Name + " is reached", RetryAfter: wait}, true
 }
 
 // waitFor refills the bucket and returns the time until n tasks can be admitted.
--- a/internal/policy/split/split.go
+++ b/internal/policy/split/split.go
@@ -26,21 +26,21 @@
 
 // Costs holds the costs by which holders are compared.
 type Costs struct {
-	// Crossing is the round-trip time to another availability zone.
-	Crossing time.Duration
-	// Message is the round-trip time to another entry of the same zone.
-	Message time.Duration
+	// ZoneRoundTrip is the round-trip time to another availability zone.
+	ZoneRoundTrip time.Duration
+	// EntryRoundTrip is the round-trip time to another entry of the same zone.
+	EntryRoundTrip time.Duration
 	// Run is the mean run time assumed for a task of a pool without measurements.
 	Run time.Duration
-	// Whole is the largest share of a holder's slots that a job may need and still
+	// WholeJobShare is the largest share of a holder's slots that a job may need and still
 	// always be kept whole. Zero splits every job.
-	Whole float64
+	WholeJobShare float64
 }
 
 // DefaultCosts returns the costs of the supported platform: 1 to 1.5 ms one way between
 // zones, a round trip under 1 ms inside a zone, and most tasks between 50 ms and 1 s.
 func DefaultCosts() Costs {
-	return Costs{Crossing: 3 * time.Millisecond, Message: time.Millisecond, Run: 300 * time.Millisecond, Whole: 0.5}
+	return Costs{ZoneRoundTrip: 3 * time.Millisecond, EntryRoundTrip: time.Millisecond, Run: 300 * time.Millisecond, WholeJobShare: 0.5}
 }
 
 const (
@@ -202,7 +202,7 @@
 // to other jobs. A single holder accepts or refuses the whole job at once. Therefore a
 // job is split only if it is large in relation to a holder and the split gains much.
 func (s *Splitter) holderForWholeJob(cs []*candidate, tasks []job.BatchTask, splitWait time.Duration) *candidate {
-	if len(tasks) < 2 || s.costs.Whole <= 0 {
+	if len(tasks) < 2 || s.costs.WholeJobShare <= 0 {
 		return nil
 	}
 	var best *candidate
@@ -219,7 +219,7 @@
 	if best != nil && len(tasks) > best.free && splitWait == 0 && freeShare(cs) > minFreeShareToSplit {
 		return nil
 	}
-	if best == nil || float64(len(tasks)) > s.costs.Whole*float64(best.load.Slots) && bestCost > splitWait+minSplitGain {
+	if best == nil || float64(len(tasks)) > s.costs.WholeJobShare*float64(best.load.Slots) && bestCost > splitWait+minSplitGain {
 		return nil
 	}
 	return best
@@ -247,10 +247,10 @@
 func (s *Splitter) wholeJobOverhead(c *candidate, n int) time.Duration {
 	var cost time.Duration
 	if n > c.freeBeforeHeadroom {
-		cost += s.costs.Message
+		cost += s.costs.EntryRoundTrip
 	}
 	if c.remote {
-		cost += s.costs.Crossing
+		cost += s.costs.ZoneRoundTrip
 	}
 	return cost
 }
@@ -325,9 +325,9 @@
 		return false
 	}
 	wait := localWait(local, len(tasks))
-	bound := spillFactor * s.costs.Crossing
+	bound := spillFactor * s.costs.ZoneRoundTrip
 	if s.spilling[pool] {
-		bound = s.costs.Crossing
+		bound = s.costs.ZoneRoundTrip
 	}
 	s.spilling[pool] = wait > bound
 	return !s.spilling[pool]
@@ -393,10 +393,10 @@
 func (s *Splitter) overhead(c *candidate) time.Duration {
 	var cost time.Duration
 	if c.taken >= c.freeBeforeHeadroom {
-		cost += s.costs.Message
+		cost += s.costs.EntryRoundTrip
 	}
 	if c.remote {
-		cost += s.costs.Crossing
+		cost += s.costs.ZoneRoundTrip
 	}
 	return cost
 }
--- a/internal/policy/voters/voters.go
+++ b/internal/policy/voters/voters.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	// AwayTime is how long a dead voter must have been unresponsive before it is
+	// ReplaceDelay is how long a dead voter must have been unresponsive before it is
 	// replaced. A process that is restarted immediately is back sooner, although
 	// connections refused by its machine have shown that it ended.
-	AwayTime = 1500 * time.Millisecond
-	// SettledTime is how long a spare disk must have been reachable without interruption.
-	SettledTime = time.Second
-	// TurnTime is how long a change must be due before the next voter in order carries it
+	ReplaceDelay = 1500 * time.Millisecond
+	// SpareSettleTime is how long a spare disk must have been reachable without interruption.
+	SpareSettleTime = time.Second
+	// TurnTimeout is how long a change must be due before the next voter in order carries it
 	// out, in case the previous one is unable to.
-	TurnTime = 1500 * time.Millisecond
+	TurnTimeout = 1500 * time.Millisecond
 )
 
 // Liveness is the state of an entry as seen by the entry that evaluates the voters.
@@ -92,7 +92,7 @@
 	case Draining:
 		return true
 	case Dead:
-		return d.Stopped || now.Sub(d.Since) >= AwayTime
+		return d.Stopped || now.Sub(d.Since) >= ReplaceDelay
 	}
 	return false
 }
@@ -132,8 +132,8 @@
 	NoSpare Reason = "no_spare_disk"
 )
 
-// Verdict is the result of evaluating the voters.
-type Verdict struct {
+// Decision is the result of evaluating the voters.
+type Decision struct {
 	Reason Reason
 	// Voter is the voter that the reason refers to; empty if it refers to the set.
 	Voter job.EntryID
@@ -142,19 +142,19 @@
 }
 
 // Due reports whether a change is to be carried out.
-func (v *Verdict) Due() bool { return v.Action.New != "" }
+func (v *Decision) Due() bool { return v.Action.New != "" }
 
 // Plan evaluates the set and returns its next change, if one is due. want is how many
 // voters the fleet needs.
-func Plan(now time.Time, disks []Disk, want int) Verdict {
+func Plan(now time.Time, disks []Disk, want int) Decision {
 	disks = slices.Clone(disks)
 	slices.SortFunc(disks, func(a, b Disk) int { return cmp.Compare(a.Entry, b.Entry) })
 	for _, d := range disks {
 		if d.Voter && d.Foreign && d.Liveness.running() {
-			return Verdict{DiskLost, d.Entry, Action{Old: d.Entry, New: d.Entry, Cause: "the voter came back with an empty disk"}}
+			return Decision{DiskLost, d.Entry, Action{Old: d.Entry, New: d.Entry, Cause: "the voter came back with an empty disk"}}
 		}
 	}
-	found := Verdict{Reason: Healthy}
+	found := Decision{Reason: Healthy}
 	for _, liveness := range []Liveness{Dead, Draining, Suspect} {
 		for _, d := range disks {
 			if !d.Voter || d.Liveness != liveness {
@@ -171,7 +171,7 @@
 	}
 	if countVoters(disks) < want {
 		if spare, ok := pickSpare(now, disks, ""); ok {
-			return Verdict{Reason: TooFew, Action: Action{New: spare, Cause: "the fleet must tolerate more failures than its voters do"}}
+			return Decision{Reason: TooFew, Action: Action{New: spare, Cause: "the fleet must tolerate more failures than its voters do"}}
 		}
 		if found.Reason == Healthy {
 			found.Reason = NoSpare
@@ -184,27 +184,27 @@
 }
 
 // planReplacement evaluates one voter that is dead, draining or suspect.
-func planReplacement(now time.Time, disks []Disk, d *Disk) Verdict {
+func planReplacement(now time.Time, disks []Disk, d *Disk) Decision {
 	if !d.replaceable(now) {
-		return Verdict{Reason: VoterSuspect, Voter: d.Entry}
+		return Decision{Reason: VoterSuspect, Voter: d.Entry}
 	}
 	spare, ok := pickSpare(now, disks, d.Entry)
 	switch {
 	case !ok && d.Liveness == Draining:
 		// The voter votes until it stops, and returns with its disk.
-		return Verdict{Reason: Healthy}
+		return Decision{Reason: Healthy}
 	case !ok:
-		return Verdict{Reason: NoSpare, Voter: d.Entry}
+		return Decision{Reason: NoSpare, Voter: d.Entry}
 	case d.Liveness == Draining:
-		return Verdict{VoterDraining, d.Entry, Action{Old: d.Entry, New: spare, Cause: "the voter stops as planned"}}
+		return Decision{VoterDraining, d.Entry, Action{Old: d.Entry, New: spare, Cause: "the voter stops as planned"}}
 	}
-	return Verdict{VoterDead, d.Entry, Action{Old: d.Entry, New: spare, Cause: "the voter is dead"}}
+	return Decision{VoterDead, d.Entry, Action{Old: d.Entry, New: spare, Cause: "the voter is dead"}}
 }
 
 // planSpread replaces a voter of a zone that holds a majority of the voters by a spare
 // disk of another zone. Replacements take any available spare disk, so voters may
 // accumulate in one zone.
-func planSpread(now time.Time, disks []Disk) Verdict {
+func planSpread(now time.Time, disks []Disk) Decision {
 	inZone := votersInZones(disks, "")
 	for _, d := range disks {
 		if !d.Voter || !isMajority(inZone[d.Zone], countVoters(disks)) {
@@ -216,17 +216,17 @@
 		}
 		i := slices.IndexFunc(disks, func(x Disk) bool { return x.Entry == spare })
 		if zone := disks[i].Zone; zone != d.Zone && !isMajority(inZone[zone]+1, countVoters(disks)) {
-			return Verdict{ZoneMajority, d.Entry, Action{Old: d.Entry, New: spare, Cause: "one availability zone holds a majority of the voters"}}
+			return Decision{ZoneMajority, d.Entry, Action{Old: d.Entry, New: spare, Cause: "one availability zone holds a majority of the voters"}}
 		}
 	}
-	return Verdict{Reason: Healthy}
+	return Decision{Reason: Healthy}
 }
 
 func isMajority(n, of int) bool { return n > 1 && 2*n > of }
 
 // Order lists the entries that may carry out the change, first to last: a draining voter
 // carries out its own replacement, followed by the other voters by name.
-func Order(disks []Disk, v *Verdict) []job.EntryID {
+func Order(disks []Disk, v *Decision) []job.EntryID {
 	var order []job.EntryID
 	for _, d := range disks {
 		if d.Votes() {
@@ -262,7 +262,7 @@
 	var best *Disk
 	for i := range disks {
 		d := &disks[i]
-		if !d.Spare() || now.Sub(d.Since) < SettledTime {
+		if !d.Spare() || now.Sub(d.Since) < SpareSettleTime {
 			continue
 		}
 		if best == nil || inZone[d.Zone] < inZone[best.Zone] {
--- a/internal/policy/voters/voters_test.go
+++ b/internal/policy/voters/voters_test.go
@@ -51,8 +51,8 @@
 		{"a healthy set stays unchanged", []Disk{alive("a", "x", true), alive("b", "y", true), alive("c", "z", true)}, 3, "", ""},
 		{"a voter with an emptied disk replaces itself", []Disk{alive("a", "x", true), foreign(alive("b", "y", true)), alive("c", "z", true)}, 3, "b", "b"},
 		{"an unresponsive voter that was not declared dead stays", []Disk{alive("a", "x", true), suspect("b", "y", time.Minute), alive("c", "z", true), alive("d", "y", false)}, 3, "", ""},
-		{"a voter whose process was restarted immediately stays", []Disk{alive("a", "x", true), dead("b", "y", AwayTime-1), alive("c", "z", true), alive("d", "y", false)}, 3, "", ""},
-		{"a dead voter is replaced before the next loss", []Disk{alive("a", "x", true), dead("b", "y", AwayTime), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
+		{"a voter whose process was restarted immediately stays", []Disk{alive("a", "x", true), dead("b", "y", ReplaceDelay-1), alive("c", "z", true), alive("d", "y", false)}, 3, "", ""},
+		{"a dead voter is replaced before the next loss", []Disk{alive("a", "x", true), dead("b", "y", ReplaceDelay), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
 		{"a voter that stopped as planned is replaced immediately", []Disk{alive("a", "x", true), stopped(alive("b", "y", true)), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
 		{"a draining voter is replaced before it stops", []Disk{alive("a", "x", true), draining(alive("b", "y", true)), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
 		{"a dead voter is replaced before a draining one", []Disk{draining(alive("a", "x", true)), dead("b", "y", time.Minute), alive("c", "z", true), alive("d", "z", false)}, 3, "b", "d"},
@@ -93,7 +93,7 @@
 	}
 	for _, test := range cases {
 		v := Plan(now, test.disks, test.want)
-		qt.Check(t, v, qt.Equals, Verdict{Reason: test.reason, Voter: test.voter})
+		qt.Check(t, v, qt.Equals, Decision{Reason: test.reason, Voter: test.voter})
 	}
 }
 
@@ -101,6 +101,6 @@
 // unable to.
 func TestOrderListsOnlyVotersAbleToAct(t *testing.T) {
 	disks := []Disk{foreign(alive("a", "x", true)), alive("b", "y", true), draining(alive("c", "z", true)), dead("d", "x", 0), alive("e", "y", false)}
-	qt.Check(t, Order(disks, &Verdict{Reason: DiskLost, Voter: "a"}), qt.DeepEquals, []job.EntryID{"b", "c"})
-	qt.Check(t, Order(disks, &Verdict{Reason: VoterDraining, Voter: "c"}), qt.DeepEquals, []job.EntryID{"c", "b"})
+	qt.Check(t, Order(disks, &Decision{Reason: DiskLost, Voter: "a"}), qt.DeepEquals, []job.EntryID{"b", "c"})
+	qt.Check(t, Order(disks, &Decision{Reason: VoterDraining, Voter: "c"}), qt.DeepEquals, []job.EntryID{"c", "b"})
 }
--- a/internal/policy/watch/watch.go
+++ b/internal/policy/watch/watch.go
@@ -28,10 +28,10 @@
 )
 
 const (
-	// Everybody is the number of other entries up to which an entry watches all of them.
+	// WatchAllMax is the number of other entries up to which an entry watches all of them.
 	// At 24, four heartbeats per second to each of them take a tenth of a VM with 0.192
 	// of a core, counting both directions.
-	Everybody = 24
+	WatchAllMax = 24
 	// RingSide is how many ring neighbours an entry watches on each side: each entry then
 	// has four watchers, of which two may be lost or unreachable at the same time.
 	RingSide = 2
@@ -57,7 +57,7 @@
 
 // Choose returns the entries that self watches. members lists the fleet, including self.
 func Choose(self job.EntryID, zone job.Zone, members []Member) Set {
-	if len(members)-1 <= Everybody {
+	if len(members)-1 <= WatchAllMax {
 		return Set{All: true}
 	}
 	return Set{Ring: Ring(self, zone, members), Contacts: chooseContacts(self, zone, members)}
--- a/internal/policy/watch/watch_test.go
+++ b/internal/policy/watch/watch_test.go
@@ -94,8 +94,8 @@
 }
 
 func TestSmallFleetWatchesAllEntries(t *testing.T) {
-	qt.Assert(t, Choose("edge-z0-0", "z0", fleet(Everybody+1, 5)).All, qt.IsTrue)
-	qt.Assert(t, Choose("edge-z0-0", "z0", fleet(Everybody+2, 5)).All, qt.IsFalse)
+	qt.Assert(t, Choose("edge-z0-0", "z0", fleet(WatchAllMax+1, 5)).All, qt.IsTrue)
+	qt.Assert(t, Choose("edge-z0-0", "z0", fleet(WatchAllMax+2, 5)).All, qt.IsFalse)
 	qt.Assert(t, Ring("edge-z0-0", "z0", fleet(10, 5)), qt.DeepEquals, []job.EntryID{"edge-z0-1"})
 	qt.Assert(t, Ring("nobody", "z0", fleet(10, 5)), qt.IsNil)
 }
--- a/internal/register/powerloss_test.go
+++ b/internal/register/powerloss_test.go
@@ -251,10 +251,10 @@
 		gone := d.victims(1, "")[0]
 		at := d.acknowledge()
 		d.removed[gone] = d.crash(gone, storagetest.KeepNone)
-		time.Sleep(voters.AwayTime - time.Second + time.Duration(d.r.IntN(2500))*time.Millisecond)
+		time.Sleep(voters.ReplaceDelay - time.Second + time.Duration(d.r.IntN(2500))*time.Millisecond)
 		d.losePower(d.victims(d.tolerate-1, at))
 		d.assertServes()
-		time.Sleep(voters.AwayTime + recoveryTime)
+		time.Sleep(voters.ReplaceDelay + recoveryTime)
 		qt.Assert(d.t, slices.Contains(d.voterNames(), gone), qt.IsFalse)
 		at = d.acknowledge()
 		d.losePower(d.victims(d.tolerate, at))
--- a/internal/register/repair.go
+++ b/internal/register/repair.go
@@ -101,7 +101,7 @@
 		r.repairState.due, r.repairState.dueAt = due, now
 	}
 	turn := slices.Index(turnOrder, r.self)
-	if !decision.Due() || turn < 0 || now.Sub(r.repairState.dueAt) < time.Duration(turn)*voters.TurnTime {
+	if !decision.Due() || turn < 0 || now.Sub(r.repairState.dueAt) < time.Duration(turn)*voters.TurnTimeout {
 		return false
 	}
 	return r.changeVoters(ctx, s.Version, decision.Action)
@@ -134,7 +134,7 @@
 
 // logAssessment logs an assessment of the voters that differs from the last one, and
 // stores the values of the metrics.
-func (r *Register) logAssessment(s *snapshot, disks []voters.Disk, v voters.Verdict, turnOrder []job.EntryID) {
+func (r *Register) logAssessment(s *snapshot, disks []voters.Disk, v voters.Decision, turnOrder []job.EntryID) {
 	reachable, spares := 0, 0
 	for _, d := range disks {
 		switch {
--- a/internal/register/repair_test.go
+++ b/internal/register/repair_test.go
@@ -191,7 +191,7 @@
 		time.Sleep(3 * time.Second)
 		f.mustApply("v1", 1)
 		disk := f.crash("v3", storagetest.KeepAll)
-		time.Sleep(voters.AwayTime + 3*time.Second)
+		time.Sleep(voters.ReplaceDelay + 3*time.Second)
 		state := f.nodes["v1"].State()
 		qt.Assert(t, slices.Contains(state.VoterEntries(), "v4"), qt.IsTrue)
 		qt.Assert(t, slices.Contains(state.VoterEntries(), "v3"), qt.IsFalse)
--- a/internal/replay/deployments_test.go
+++ b/internal/replay/deployments_test.go
@@ -65,7 +65,7 @@
 
 func decisions() []decision {
 	return []decision{
-		{"jobs stay whole", func(s *site) { s.costs.Whole = 0 }},
+		{"jobs stay whole", func(s *site) { s.costs.WholeJobShare = 0 }},
 		{"patience", func(s *site) { s.opts.NoPatience = true }},
 		{"expected ends", func(s *site) { s.opts.NoExpectedEnds = true }},
 		{"begun kept", func(s *site) { s.opts.NoBegunKept = true }},
--- a/internal/replay/fleet_test.go
+++ b/internal/replay/fleet_test.go
@@ -120,7 +120,7 @@
 		for h := range s.holders + s.owners {
 			self := job.Owner{Entry: job.EntryID(fmt.Sprintf("%s-%d", zoneName(z), h)), Incarnation: 1, Zone: zoneName(z)}
 			o := &owner{fleet: f, self: self, splitter: split.New(self.Entry, self.Zone, s.costs, uint64(n+h))}
-			o.run = pipeline.Run{Self: self, Holders: o, Events: timeline.Discard{}, Crashes: crash.NewBook()}
+			o.run = pipeline.Run{Self: self, Holders: o, Events: timeline.Discard{}, Crashes: crash.NewTracker()}
 			if h < s.holders {
 				o.held = holder.New(holder.Options{Self: self, Config: config.Fixed{File: file}, Connect: f.connect, Scheduler: s.opts, Seed: uint64(h), Crashes: o.run.Crashes, OnCrash: func(_ job.Owner, t crash.Task) { f.reportCrash(o.run.Crashes, t) }})
 				f.holders[self.Entry] = o.held
@@ -295,10 +295,10 @@
 const crashReportDelay = 250 * time.Millisecond
 
 // reportCrash sends the crash record of a task from one entry to all entries.
-func (f *fleet) reportCrash(from *crash.Book, t crash.Task) {
+func (f *fleet) reportCrash(from *crash.Tracker, t crash.Task) {
 	time.AfterFunc(crashReportDelay, func() {
 		for _, o := range f.owners {
-			o.run.Crashes.Learn(time.Now(), t, from.Verdict(t).Sure)
+			o.run.Crashes.Merge(time.Now(), t, from.Decide(t).Counted)
 		}
 	})
 }
--- a/internal/replay/overload_test.go
+++ b/internal/replay/overload_test.go
@@ -73,7 +73,7 @@
 func TestSmallJobsStayWhole(t *testing.T) {
 	with := mean(t, "whole", defaultSite(), steadyLoad(2.5))
 	s := defaultSite()
-	s.costs.Whole = 0
+	s.costs.WholeJobShare = 0
 	without := mean(t, "split", s, steadyLoad(2.5))
 	qt.Check(t, with.credit > without.credit+0.03, qt.IsTrue)
 	qt.Check(t, 5*with.uncertain < without.uncertain, qt.IsTrue)
--- a/internal/runs/pace.go
+++ b/internal/runs/pace.go
@@ -13,7 +13,7 @@
 	if r.expected <= 0 || r.paceTimer != nil || s.runs[ref] != r {
 		return
 	}
-	r.paceTimer = time.AfterFunc(pace.FirstLook(r.expected), func() { s.checkPace(ref, r) })
+	r.paceTimer = time.AfterFunc(pace.FirstPoll(r.expected), func() { s.checkPace(ref, r) })
 }
 
 // checkPace asks the target for the progress of an overdue run, and stops the run if it would
@@ -45,7 +45,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.runs[ref] == r {
-		r.paceTimer.Reset(pace.NextLook(r.expected))
+		r.paceTimer.Reset(pace.NextPoll(r.expected))
 	}
 }
 
@@ -57,7 +57,7 @@
 	}
 	elapsed := time.Since(r.confirmedAt)
 	if !pace.Move(r.expected, elapsed, percent) {
-		r.paceTimer.Reset(pace.NextLook(r.expected))
+		r.paceTimer.Reset(pace.NextPoll(r.expected))
 		s.mu.Unlock()
 		return
 	}
--- a/internal/scheduler/earlieststart.go
+++ b/internal/scheduler/earlieststart.go
@@ -29,7 +29,7 @@
 		}
 		for i := range other.tasks {
 			if t := &other.tasks[i]; t.state == taskRunning {
-				p.freeTimes.add(t.remaining(now, p.fleet.Pace(&t.target.health)))
+				p.freeTimes.add(t.remaining(now, p.fleet.RelativeRunTime(&t.target.health)))
 			}
 		}
 	}
--- a/internal/scheduler/finish.go
+++ b/internal/scheduler/finish.go
@@ -83,7 +83,7 @@
 		p.fleet.Done(now, &tg.health, tg.ID, kind, r.Ran, expected, t.probe)
 		// The run times on a slow target don't describe the kind of task.
 		if p.fleet.Slowness(&tg.health) <= 1 || p.opts.NoHealth {
-			p.estimates.Learn(now, kind, r.Ran)
+			p.estimates.Record(now, kind, r.Ran)
 		}
 	case b.cancelled || endedByRequester(r.Reason):
 		p.fleet.Stopped(now, &tg.health, r.Ran, p.expect(now, b, t), t.probe)
--- a/internal/scheduler/offer.go
+++ b/internal/scheduler/offer.go
@@ -180,13 +180,13 @@
 	c := &p.classes[b.class]
 	out := admission.Backlog{Slots: int(p.slots), Free: p.freeCapacity, Team: c.team(b.team).ahead(b.sizeClass()), Share: c.lanes[b.lane()].Share(b.team)}
 	if float64(c.team(b.team).queued+len(b.tasks)) > teamQueueAllowance*out.Share*p.slots {
-		out.Standing = c.standing(now)
+		out.QueuedFor = c.standing(now)
 	}
 	for u := int(b.class) + 1; u < classes; u++ {
 		out.Slots -= p.classes[u].running
 	}
 	if b.class != job.UrgencyUrgent {
-		out.Least, out.LeastAfter = agedShare*p.slots, agedAfter[b.class]
+		out.MinSlots, out.MinSlotsAfter = agedShare*p.slots, agedAfter[b.class]
 	}
 	maxLong := p.maxLong(now)
 	if b.long {
@@ -244,7 +244,7 @@
 	switch kind := longest.kind(b); {
 	case p.opts.NoEstimates:
 		r.Longest = longest.expected
-	case p.estimates.Sure(now, kind):
+	case p.estimates.Reliable(now, kind):
 		r.Longest = max(longest.expected, p.estimates.Longest(kind, len(b.tasks)))
 	}
 	if !b.deadline.IsZero() && !b.flagLate {
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -94,7 +94,7 @@
 	opts         Options
 	rand         *rand.Rand
 	file         *config.File
-	estimates    *estimate.Book
+	estimates    *estimate.Estimator
 	fleet        *health.Fleet
 	shortReserve *reserve.Reserve
 
@@ -114,7 +114,7 @@
 	freeCapacity int
 	freeSlots    int
 	meanSize     sizeMean
-	patience     patience.Book
+	patience     patience.Tracker
 	freeTimes    slotHeap
 	meanSlack    float64 // of jobs with an objective, in seconds
 	running      int
@@ -232,7 +232,7 @@
 	c := &p.classes[b.class]
 	c.running += slots
 	for _, q := range c.lanes {
-		q.Hold(b.team, float64(slots))
+		q.AddHeldSlots(b.team, float64(slots))
 	}
 	if b.long {
 		c.longRunning += slots
--- a/internal/scheduler/size.go
+++ b/internal/scheduler/size.go
@@ -123,7 +123,7 @@
 // as a multiple of that on the median target, plus 1 if the target is suspect or worse,
 // the cost of the remaining gap, and that of the job's tasks in the same rack.
 func (p *Pool) placementCost(b *batch, t *task, tg *target, load float64) float64 {
-	cost := p.fleet.Pace(&tg.health)
+	cost := p.fleet.RelativeRunTime(&tg.health)
 	if tg.tier > ready {
 		cost++
 	}
