--- a/internal/capacity/leases.go
+++ b/internal/capacity/leases.go
@@ -16,7 +16,7 @@
 
 // Platform provides a client for, and a fake of, targets that run tasks under a lease.
 type Platform struct {
-	Orders func(job.Target) runs.Orders
+	Orders func(job.Target) runs.TargetClient
 	// StandIn returns a handler that answers like a target with the given number of
 	// running tasks.
 	StandIn func(runs int) (http.Handler, error)
@@ -104,7 +104,7 @@
 	count := 0
 	var lastErr error
 	m.LookCPU = cpuPerCall(minTime, func(i int) {
-		if _, err := client.Renew(context.Background(), runs.RenewOrder{Until: int64(i), Epoch: 1 << 40, WaitMillis: 350}); err != nil {
+		if _, err := client.Renew(context.Background(), runs.PollRequest{Until: int64(i), Epoch: 1 << 40, WaitMillis: 350}); err != nil {
 			lastErr = err
 		}
 		count++
--- a/internal/entry/announced.go
+++ b/internal/entry/announced.go
@@ -98,14 +98,14 @@
 
 // newListenCheck returns a function that reports whether an incarnation of a target listens
 // at its address.
-func newListenCheck(orders func(job.Target) runs.Orders) func(job.Target) bool {
+func newListenCheck(newClient func(job.Target) runs.TargetClient) func(job.Target) bool {
 	return func(t job.Target) bool {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 		defer cancel()
-		client := orders(t)
+		client := newClient(t)
 		defer client.Close()
 		// A renewal without an epoch and without a lease changes nothing at the target.
-		reply, err := client.Renew(ctx, runs.RenewOrder{})
+		reply, err := client.Renew(ctx, runs.PollRequest{})
 		// Each target reports its clock; another program that answers may not.
 		return err == nil && reply.Clock != 0 && (reply.Refusal == runs.Accepted || reply.Refusal == runs.Fenced)
 	}
@@ -124,6 +124,6 @@
 	}
 	delete(t.transfers, leaving.ID)
 	t.mu.Unlock()
-	t.remove(leaving.ID, leaving.Address, t.holder.LeaveTarget)
+	t.remove(leaving.ID, leaving.Address, t.holder.RemoveStoppingTarget)
 	return nil
 }
--- a/internal/entry/announced_test.go
+++ b/internal/entry/announced_test.go
@@ -183,44 +183,44 @@
 	qt.Assert(t, errors.Is(err, target.ErrWithdrawn), qt.IsTrue)
 }
 
-// fakeOrders answers status queries in place of a target.
-type fakeOrders struct {
-	look runs.Look
-	err  error
+// fakeTargetClient answers status queries in place of a target.
+type fakeTargetClient struct {
+	reply runs.PollReply
+	err   error
 }
 
-func (a fakeOrders) Start(context.Context, runs.StartOrder) (runs.Reply, error) {
+func (a fakeTargetClient) Start(context.Context, runs.StartRequest) (runs.Reply, error) {
 	return runs.Reply{}, nil
 }
 
-func (a fakeOrders) Stop(context.Context, runs.StopOrder) (runs.Reply, error) {
+func (a fakeTargetClient) Stop(context.Context, runs.StopRequest) (runs.Reply, error) {
 	return runs.Reply{}, nil
 }
 
-func (a fakeOrders) Renew(_ context.Context, o runs.RenewOrder) (runs.Look, error) {
-	if o != (runs.RenewOrder{}) {
-		return runs.Look{}, errors.New("the query must change nothing at the target")
+func (a fakeTargetClient) Renew(_ context.Context, o runs.PollRequest) (runs.PollReply, error) {
+	if o != (runs.PollRequest{}) {
+		return runs.PollReply{}, errors.New("the query must change nothing at the target")
 	}
-	return a.look, a.err
+	return a.reply, a.err
 }
 
-func (a fakeOrders) Close() {}
+func (a fakeTargetClient) Close() {}
 
 // A target counts as listening only if it answers without ambiguity.
 func TestAskingWhoListens(t *testing.T) {
 	for _, c := range []struct {
-		answer fakeOrders
+		answer fakeTargetClient
 		want   bool
 	}{
-		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Accepted, Clock: 1}}}, true},
-		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Fenced, Clock: 1}}}, true},
-		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Accepted}}}, false},
-		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Fenced}}}, false},
-		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Elsewhere}}}, false},
-		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Unwell}}}, false},
-		{fakeOrders{err: peer.ErrNoAnswer}, false},
+		{fakeTargetClient{reply: runs.PollReply{Reply: runs.Reply{Refusal: runs.Accepted, Clock: 1}}}, true},
+		{fakeTargetClient{reply: runs.PollReply{Reply: runs.Reply{Refusal: runs.Fenced, Clock: 1}}}, true},
+		{fakeTargetClient{reply: runs.PollReply{Reply: runs.Reply{Refusal: runs.Accepted}}}, false},
+		{fakeTargetClient{reply: runs.PollReply{Reply: runs.Reply{Refusal: runs.Fenced}}}, false},
+		{fakeTargetClient{reply: runs.PollReply{Reply: runs.Reply{Refusal: runs.WrongIncarnation}}}, false},
+		{fakeTargetClient{reply: runs.PollReply{Reply: runs.Reply{Refusal: runs.Unavailable}}}, false},
+		{fakeTargetClient{err: peer.ErrNoAnswer}, false},
 	} {
-		listens := newListenCheck(func(job.Target) runs.Orders { return c.answer })
+		listens := newListenCheck(func(job.Target) runs.TargetClient { return c.answer })
 		qt.Check(t, listens(testTarget("t1", "p", "10.0.0.1:80")), qt.Equals, c.want, qt.Commentf("%+v", c.answer))
 	}
 	qt.Assert(t, probeTimeout < time.Second, qt.IsTrue)
--- a/internal/entry/attach.go
+++ b/internal/entry/attach.go
@@ -81,7 +81,7 @@
 	m.Gauge("vanillagrade_links", func() float64 { return float64(e.links.Standing()) })
 	m.Gauge("vanillagrade_links_opened", func() float64 { return float64(e.links.Opened()) })
 	m.Gauge(`vanillagrade_target_calls{kind="start"}`, func() float64 { return float64(e.calls.Starts.Load()) })
-	m.Gauge(`vanillagrade_target_calls{kind="look"}`, func() float64 { return float64(e.calls.Looks.Load()) })
+	m.Gauge(`vanillagrade_target_calls{kind="look"}`, func() float64 { return float64(e.calls.Polls.Load()) })
 	m.Gauge(`vanillagrade_target_calls{kind="stop"}`, func() float64 { return float64(e.calls.Stops.Load()) })
 	m.Gauge("vanillagrade_slots_known", func() float64 { return float64(e.totalSlots()) })
 	m.Gauge("vanillagrade_agreement_rounds", func() float64 { return float64(e.register.Round()) })
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -69,7 +69,7 @@
 	Malformed *malformed.Tally
 	// Orders, when set, returns the client for a target that runs tasks under a lease,
 	// in place of the targets' HTTP interface.
-	Orders func(job.Target) runs.Orders
+	Orders func(job.Target) runs.TargetClient
 	// Lease is the longest lease that such a target grants; zero means the default.
 	Lease time.Duration
 	// Suspended returns the total time for which the VM was suspended so far; nil means
@@ -264,12 +264,12 @@
 	e.crashes.members = e.members
 	e.handoverServer = handover.Serve(e.links, e.holder)
 	e.handoverServer.OnOffer(e.members.Touch)
-	e.handoverServer.RecordTo(e.events)
-	e.handoverServer.TellLoads(e.holder.Load)
+	e.handoverServer.SetEventSink(e.events)
+	e.handoverServer.ReportLoads(e.holder.Load)
 	e.remote = handover.NewRemote(handover.RemoteOptions{
-		Mesh: e.links, Gone: e.members.Gone, Silent: e.members.Silent,
+		Mesh: e.links, Gone: e.members.Gone, SinceLastMessage: e.members.Silent,
 		Proof: e.proofFor, Learn: e.members.Learn, Events: e.events,
-		Loaded: func(from job.EntryID, l job.HolderLoad) { e.holders.recordAnswerLoad(from, l) },
+		OnLoad: func(from job.EntryID, l job.HolderLoad) { e.holders.recordAnswerLoad(from, l) },
 	})
 	e.holders = newHolders(e.self, e.holder, e.remote, e.members)
 	e.targets = newTargets(e)
@@ -288,7 +288,7 @@
 	e.serveSearches()
 	fresh := &pipeline.Fresh{Events: e.events}
 	if e.rights != nil {
-		e.handoverServer.NeedRights(e.rights)
+		e.handoverServer.RequireRights(e.rights)
 		fresh.Right = e.rights.ownRight
 	}
 	e.chain = pipeline.Chain(
--- a/internal/entry/pause_test.go
+++ b/internal/entry/pause_test.go
@@ -68,7 +68,7 @@
 	other := p.net.Join(job.Owner{Entry: "o", Incarnation: 1, Zone: "y"})
 	p.entry = p.assemble(mesh)
 	otherMembers := membership.New(membership.Options{Mesh: other, Peers: []membership.Peer{{Entry: "h", Zone: "z"}}, Across: crossZoneTimings})
-	p.owner = handover.NewRemote(handover.RemoteOptions{Mesh: other, Silent: otherMembers.Silent, Proof: otherMembers.Last, Learn: otherMembers.Learn})
+	p.owner = handover.NewRemote(handover.RemoteOptions{Mesh: other, SinceLastMessage: otherMembers.Silent, Proof: otherMembers.Last, Learn: otherMembers.Learn})
 	go func() { _ = otherMembers.Run(p.ctx) }()
 	p.resume()
 	p.entry.holder.SetTarget(job.Target{ID: "t", Pool: "p", Zone: "z", Slots: 1, Connections: 1})
@@ -84,7 +84,7 @@
 	e.members = membership.New(membership.Options{Mesh: mesh, Peers: []membership.Peer{{Entry: "o", Zone: "y"}}, Across: crossZoneTimings, Proved: e.rights.recordProof})
 	e.handoverServer = handover.Serve(mesh, e.holder)
 	e.handoverServer.OnOffer(e.members.Touch)
-	e.handoverServer.NeedRights(e.rights)
+	e.handoverServer.RequireRights(e.rights)
 	return e
 }
 
--- a/internal/entry/review_test.go
+++ b/internal/entry/review_test.go
@@ -12,20 +12,20 @@
 	"github.com/vanillagrade/vanillagrade/internal/runs"
 )
 
-// emptyOrders is a program that answers each call with 200 and an empty body. The platform
+// emptyTargetClient is a program that answers each call with 200 and an empty body. The platform
 // reads this as an answer without a refusal and without a clock.
-type emptyOrders struct{ runs.Orders }
+type emptyTargetClient struct{ runs.TargetClient }
 
-func (emptyOrders) Renew(context.Context, runs.RenewOrder) (runs.Look, error) {
-	return runs.Look{}, nil
+func (emptyTargetClient) Renew(context.Context, runs.PollRequest) (runs.PollReply, error) {
+	return runs.PollReply{}, nil
 }
-func (emptyOrders) Close() {}
+func (emptyTargetClient) Close() {}
 
 // An announcement names a working target at an address where another program listens, which
 // answers each call with 200 and is not a target. If the entry mistook that program for the
 // target, it would drop the working target and the tasks that run there.
 func TestAnotherProgramIsNoTarget(t *testing.T) {
-	listens := newListenCheck(func(job.Target) runs.Orders { return emptyOrders{} })
+	listens := newListenCheck(func(job.Target) runs.TargetClient { return emptyTargetClient{} })
 	qt.Check(t, listens(testTarget("t1", "p", "10.0.0.9:80")), qt.IsFalse)
 }
 
--- a/internal/entry/rights.go
+++ b/internal/entry/rights.go
@@ -138,7 +138,7 @@
 // all messages that arrived while it was paused, and the holder has confirmed all
 // cancellations.
 func (e *Entry) mayProve(to job.EntryID) bool {
-	return !e.rights.mayReadStale() && !e.remote.TakingBack(to)
+	return !e.rights.mayReadStale() && !e.remote.CancelUnconfirmed(to)
 }
 
 // proofFor returns the reading of a holder's clock that proves to the holder that this entry
@@ -167,7 +167,7 @@
 		}
 		e.rights.recordRun(now, gap)
 		if len(expired) > 0 {
-			e.holder.DropLapsed()
+			e.holder.DropUnauthorized()
 		}
 	})
 }
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -218,14 +218,14 @@
 // removeEnded removes a target whose process has ended and stops new work on it at once.
 func (t *targets) removeEnded(id job.TargetID) {
 	t.forgetTarget(id)
-	t.remove(id, "", t.holder.EndTarget)
+	t.remove(id, "", t.holder.RemoveEndedTarget)
 }
 
 // removeWithdrawn stops new work on a target that has withdrawn. No task becomes suspect
 // because of the target's end.
 func (t *targets) removeWithdrawn(id job.TargetID) {
 	t.forgetTarget(id)
-	t.remove(id, "", t.holder.LeaveTarget)
+	t.remove(id, "", t.holder.RemoveStoppingTarget)
 }
 
 func (t *targets) forgetTarget(id job.TargetID) {
--- a/internal/entry/targets_test.go
+++ b/internal/entry/targets_test.go
@@ -37,7 +37,7 @@
 				}
 			})
 		}
-		both.Go(func() { held.remove(id, "", held.holder.LeaveTarget) })
+		both.Go(func() { held.remove(id, "", held.holder.RemoveStoppingTarget) })
 		both.Wait()
 	}
 	ts.expireLeases(time.Now().Add(time.Hour))
--- a/internal/entry/traffic.go
+++ b/internal/entry/traffic.go
@@ -21,7 +21,7 @@
 	out := []any{
 		"after_s", int(time.Since(e.started).Seconds()),
 		"links", e.links.Standing(), "links_opened", e.links.Opened(),
-		"target_starts", e.calls.Starts.Load(), "target_looks", e.calls.Looks.Load(), "target_stops", e.calls.Stops.Load(),
+		"target_starts", e.calls.Starts.Load(), "target_looks", e.calls.Polls.Load(), "target_stops", e.calls.Stops.Load(),
 	}
 	for _, s := range e.links.Stats() {
 		if s.MessagesOut+s.MessagesIn == 0 {
--- a/internal/handover/hangup_test.go
+++ b/internal/handover/hangup_test.go
@@ -47,7 +47,7 @@
 func useResettableMesh(s *fixture) *resettable {
 	mesh := &resettable{Node: s.net.Join(ownerID), broken: make(chan struct{})}
 	sinceLastMessage := func(job.EntryID, job.Incarnation) time.Duration { return 100 * time.Millisecond }
-	s.remote = NewRemote(RemoteOptions{Mesh: mesh, Silent: sinceLastMessage})
+	s.remote = NewRemote(RemoteOptions{Mesh: mesh, SinceLastMessage: sinceLastMessage})
 	return mesh
 }
 
--- a/internal/handover/load_test.go
+++ b/internal/handover/load_test.go
@@ -15,7 +15,7 @@
 // next heartbeat, which would update it, is half a second away.
 func TestAnswersReportTheLoadOfTheirPool(t *testing.T) {
 	run(t, func(s *fixture) {
-		s.server.TellLoads(func(pool string) job.HolderLoad {
+		s.server.ReportLoads(func(pool string) job.HolderLoad {
 			return job.HolderLoad{Pool: pool, Entry: "holder", Zone: "z", Free: 3}
 		})
 		var mu sync.Mutex
@@ -24,7 +24,7 @@
 		s.remote = NewRemote(RemoteOptions{
 			Mesh: s.net.Join(job.Owner{Entry: "second", Incarnation: 1, Zone: "y"}),
 			Gone: func(job.EntryID, job.Incarnation) bool { return false },
-			Loaded: func(from job.EntryID, l job.HolderLoad) {
+			OnLoad: func(from job.EntryID, l job.HolderLoad) {
 				mu.Lock()
 				defer mu.Unlock()
 				qt.Check(t, from, qt.Equals, job.EntryID("holder"))
--- a/internal/handover/lost_test.go
+++ b/internal/handover/lost_test.go
@@ -57,7 +57,7 @@
 
 func deliverOver(t *testing.T, f *flappingMesh, sinceLastMessage func(job.EntryID, job.Incarnation) time.Duration) (job.TaskOutcome, time.Duration) {
 	t.Helper()
-	r := NewRemote(RemoteOptions{Mesh: f, Silent: sinceLastMessage})
+	r := NewRemote(RemoteOptions{Mesh: f, SinceLastMessage: sinceLastMessage})
 	got := make(chan []job.TaskOutcome, 1)
 	begun := time.Now()
 	r.Offer(context.Background(), "h", 1, transientBatch(), func(o []job.TaskOutcome) { got <- o })
@@ -93,7 +93,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		kept := &lossRecorder{}
 		sinceLastMessage := func(job.EntryID, job.Incarnation) time.Duration { return time.Hour }
-		r := NewRemote(RemoteOptions{Mesh: &flappingMesh{failingCalls: 1, callTime: 100 * time.Millisecond, down: true}, Silent: sinceLastMessage, Events: kept})
+		r := NewRemote(RemoteOptions{Mesh: &flappingMesh{failingCalls: 1, callTime: 100 * time.Millisecond, down: true}, SinceLastMessage: sinceLastMessage, Events: kept})
 		got := make(chan []job.TaskOutcome, 1)
 		r.Offer(context.Background(), "h", 1, transientBatch(), func(o []job.TaskOutcome) { got <- o })
 		<-got
--- a/internal/handover/record_test.go
+++ b/internal/handover/record_test.go
@@ -36,7 +36,7 @@
 func TestHolderRecordsBatches(t *testing.T) {
 	run(t, func(s *fixture) {
 		n := &eventRecorder{}
-		s.server.RecordTo(n)
+		s.server.SetEventSink(n)
 		got := s.offer(context.Background(), batch("j", 0, 1))
 		time.Sleep(100 * time.Millisecond)
 		s.net.CutBoth("owner", "holder", true)
@@ -55,7 +55,7 @@
 func TestHolderRecordsWhyABatchFailed(t *testing.T) {
 	run(t, func(s *fixture) {
 		n := &eventRecorder{}
-		s.server.RecordTo(n)
+		s.server.SetEventSink(n)
 		s.holder.failingTask = 1
 		<-s.offer(context.Background(), batch("j", 0, 1))
 		events := n.all()
@@ -71,7 +71,7 @@
 func TestHolderRecordsLateBatches(t *testing.T) {
 	run(t, func(s *fixture) {
 		n := &eventRecorder{}
-		s.server.RecordTo(n)
+		s.server.SetEventSink(n)
 		b := batch("j", 0)
 		b.Tasks[0].RunMillis = 40
 		b.Stretch, b.Slack, b.Waited = 2, 100*time.Millisecond, 30*time.Millisecond
--- a/internal/handover/remote.go
+++ b/internal/handover/remote.go
@@ -54,16 +54,16 @@
 type RemoteOptions struct {
 	Mesh peer.Mesh
 	Gone Gone
-	// Silent returns the time since the last message from an incarnation of an
+	// SinceLastMessage returns the time since the last message from an incarnation of an
 	// entry; nil treats every entry as unresponsive.
-	Silent func(entry job.EntryID, incarnation job.Incarnation) time.Duration
+	SinceLastMessage func(entry job.EntryID, incarnation job.Incarnation) time.Duration
 	// Proof returns the last timestamp received of a holder's clock, and Learn stores one;
 	// nil if holders require no proof.
 	Proof func(entry job.EntryID, incarnation job.Incarnation) awake.Reading
 	Learn func(entry job.EntryID, incarnation job.Incarnation, at awake.Reading)
-	// Loaded receives the load that a holder sends with its answer, before the outcomes are
+	// OnLoad receives the load that a holder sends with its answer, before the outcomes are
 	// reported; may be nil.
-	Loaded func(from job.EntryID, l job.HolderLoad)
+	OnLoad func(from job.EntryID, l job.HolderLoad)
 	Events timeline.Sink
 }
 
@@ -100,8 +100,8 @@
 	if o.Events == nil {
 		o.Events = timeline.Discard{}
 	}
-	if o.Silent == nil {
-		o.Silent = func(job.EntryID, job.Incarnation) time.Duration { return 2 * holderLostAfter }
+	if o.SinceLastMessage == nil {
+		o.SinceLastMessage = func(job.EntryID, job.Incarnation) time.Duration { return 2 * holderLostAfter }
 	}
 	if o.Proof == nil {
 		o.Proof = func(job.EntryID, job.Incarnation) awake.Reading { return 0 }
@@ -109,11 +109,11 @@
 	if o.Learn == nil {
 		o.Learn = func(job.EntryID, job.Incarnation, awake.Reading) {}
 	}
-	if o.Loaded == nil {
-		o.Loaded = func(job.EntryID, job.HolderLoad) {}
+	if o.OnLoad == nil {
+		o.OnLoad = func(job.EntryID, job.HolderLoad) {}
 	}
 	return &Remote{
-		onLoad: o.Loaded, proof: o.Proof, learnReading: o.Learn, mesh: o.Mesh, isGone: o.Gone, sinceLastMessage: o.Silent, events: o.Events,
+		onLoad: o.OnLoad, proof: o.Proof, learnReading: o.Learn, mesh: o.Mesh, isGone: o.Gone, sinceLastMessage: o.SinceLastMessage, events: o.Events,
 		unconfirmedCancels: map[job.EntryID]int{}, pending: map[job.ID]map[uint64]*pendingOffer{}, acks: map[job.EntryID][]uint64{},
 	}
 }
@@ -313,10 +313,10 @@
 	}
 }
 
-// TakingBack reports whether a holder has yet to confirm a cancellation because its link
+// CancelUnconfirmed reports whether a holder has yet to confirm a cancellation because its link
 // broke. Until it does, this owner must not send the holder a proof that it is alive, or the
 // cancelled job would continue.
-func (r *Remote) TakingBack(to job.EntryID) bool {
+func (r *Remote) CancelUnconfirmed(to job.EntryID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.unconfirmedCancels[to] > 0
--- a/internal/handover/serve.go
+++ b/internal/handover/serve.go
@@ -115,21 +115,21 @@
 	Reading() awake.Reading
 }
 
-// NeedRights makes the holder require a right to act for owners of transient work. It must
+// RequireRights makes the holder require a right to act for owners of transient work. It must
 // be called before the links start.
-func (s *Server) NeedRights(r Rights) { s.rights = r }
+func (s *Server) RequireRights(r Rights) { s.rights = r }
 
-// TellLoads makes answers carry the load of the holder's targets. It must be called before
+// ReportLoads makes answers carry the load of the holder's targets. It must be called before
 // the links start.
-func (s *Server) TellLoads(load func(pool string) job.HolderLoad) { s.load = load }
+func (s *Server) ReportLoads(load func(pool string) job.HolderLoad) { s.load = load }
 
 // OnOffer sets a function that is called with the owner of each arriving batch, before
 // the holder receives the batch. OnOffer must be called before the links start.
 func (s *Server) OnOffer(onOffer func(job.Owner)) { s.onOffer = onOffer }
 
-// RecordTo sets the sink for events about received and reported batches. It must be
+// SetEventSink sets the sink for events about received and reported batches. It must be
 // called before the links start.
-func (s *Server) RecordTo(events timeline.Sink) { s.events = events }
+func (s *Server) SetEventSink(events timeline.Sink) { s.events = events }
 
 func (s *Server) handleOffer(ctx context.Context, from job.Owner, body cbor.RawMessage) (any, error) {
 	var o offer
--- a/internal/holder/batch.go
+++ b/internal/holder/batch.go
@@ -120,7 +120,7 @@
 }
 
 // notStartedOutcomes returns the outcomes of a batch that was refused as a whole.
-func notStartedOutcomes(tasks []job.BatchTask, v scheduler.Verdict) []job.TaskOutcome {
+func notStartedOutcomes(tasks []job.BatchTask, v scheduler.Admission) []job.TaskOutcome {
 	out := make([]job.TaskOutcome, len(tasks))
 	for i := range tasks {
 		out[i] = job.TaskOutcome{
@@ -143,7 +143,7 @@
 	for i := range first.offered.Tasks {
 		here[first.offered.Tasks[i].Index] = true
 	}
-	out := notStartedOutcomes(b.Tasks, scheduler.Verdict{Reason: job.TargetRefused, Detail: "an earlier batch of the submission is still here"})
+	out := notStartedOutcomes(b.Tasks, scheduler.Admission{Reason: job.TargetRefused, Detail: "an earlier batch of the submission is still here"})
 	for i := range out {
 		if here[out[i].Index] {
 			out[i].Status, out[i].Reason = job.TaskErred, job.Internal
--- a/internal/holder/crash_test.go
+++ b/internal/holder/crash_test.go
@@ -157,7 +157,7 @@
 			synctest.Wait()
 			for _, id := range targetNames(6) {
 				if h.Running(id) > 0 {
-					h.LeaveTarget(id)
+					h.RemoveStoppingTarget(id)
 				}
 			}
 			time.Sleep(taskTime)
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -176,9 +176,9 @@
 	return h.removeTarget(id, false)
 }
 
-// LeaveTarget removes a target whose stop is planned: when it ends later, its tasks are not
+// RemoveStoppingTarget removes a target whose stop is planned: when it ends later, its tasks are not
 // suspected of having crashed it.
-func (h *Holder) LeaveTarget(id job.TargetID) { h.removeTarget(id, true) }
+func (h *Holder) RemoveStoppingTarget(id job.TargetID) { h.removeTarget(id, true) }
 
 // TargetEnded records that a target's process has ended, before its runs are known to be
 // over.
@@ -188,9 +188,9 @@
 	}
 }
 
-// EndTarget removes a target whose process has ended: the tasks that ran there become
+// RemoveEndedTarget removes a target whose process has ended: the tasks that ran there become
 // suspects.
-func (h *Holder) EndTarget(id job.TargetID) {
+func (h *Holder) RemoveEndedTarget(id job.TargetID) {
 	h.TargetEnded(id)
 	h.removeTarget(id, false)
 }
@@ -229,7 +229,7 @@
 // running ones as "may have run".
 func (h *Holder) Offer(b *job.Batch, report func([]job.TaskOutcome)) {
 	if !h.gate.enter() {
-		report(notStartedOutcomes(b.Tasks, scheduler.Verdict{Reason: job.Draining, Detail: "the entry is stopping", RetryAfter: time.Second}))
+		report(notStartedOutcomes(b.Tasks, scheduler.Admission{Reason: job.Draining, Detail: "the entry is stopping", RetryAfter: time.Second}))
 		return
 	}
 	h.mu.RLock()
@@ -276,9 +276,9 @@
 	return out
 }
 
-// DropLapsed stops the queued and running work of all owners for whom this entry has no
+// DropUnauthorized stops the queued and running work of all owners for whom this entry has no
 // right to act any more: the work may have been started elsewhere.
-func (h *Holder) DropLapsed() {
+func (h *Holder) DropUnauthorized() {
 	for _, p := range h.allPools() {
 		p.dropUnauthorized()
 	}
--- a/internal/holder/link.go
+++ b/internal/holder/link.go
@@ -121,7 +121,7 @@
 // wait behind others, but the time by which the task must be over counts from the
 // notification.
 type stopNotifier interface {
-	Ending(submission job.ID, index int)
+	NotifyStop(submission job.ID, index int)
 }
 
 // stop queues a request to the target to stop a task. One goroutine per target
@@ -129,7 +129,7 @@
 // only one connection.
 func (l *link) stop(p *pool, submission job.ID, index int, e *effects) {
 	if c, ok := l.conn.(stopNotifier); ok {
-		c.Ending(submission, index)
+		c.NotifyStop(submission, index)
 	}
 	l.stopQueue = append(l.stopQueue, stopRequest{submission, index})
 	if l.sendingStops {
--- a/internal/holder/pool.go
+++ b/internal/holder/pool.go
@@ -178,7 +178,7 @@
 			return
 		}
 		if !job.Holds(offered.Right) {
-			p.refuse(e, report, notStartedOutcomes(offered.Tasks, scheduler.Verdict{Reason: job.HolderLost, Detail: "no recent proof that the owner is alive"}))
+			p.refuse(e, report, notStartedOutcomes(offered.Tasks, scheduler.Admission{Reason: job.HolderLost, Detail: "no recent proof that the owner is alive"}))
 			return
 		}
 		if p.refuseCrashing(now, offered, report, e) || p.deferBatch(now, &waitingBatch{offered, service, report, now}, e) {
@@ -220,7 +220,7 @@
 	if crashing < 0 {
 		return false
 	}
-	outcomes := notStartedOutcomes(offered.Tasks, scheduler.Verdict{Reason: job.SiblingFailed, Detail: "another task of the job crashes its targets"})
+	outcomes := notStartedOutcomes(offered.Tasks, scheduler.Admission{Reason: job.SiblingFailed, Detail: "another task of the job crashes its targets"})
 	t := &offered.Tasks[crashing]
 	outcomes[crashing] = job.TaskOutcome{
 		Index: t.Index, Status: job.TaskErred, Over: true, Reason: job.TaskCrashes, Detail: crashDetail(t.Crashed), Crashed: t.Crashed,
@@ -267,7 +267,7 @@
 		return false
 	}
 	if old := earlier.next; old != nil {
-		p.refuse(e, old.report, notStartedOutcomes(old.offered.Tasks, scheduler.Verdict{Reason: job.OwnerLost, Detail: "the submission was sent again through another owner"}))
+		p.refuse(e, old.report, notStartedOutcomes(old.offered.Tasks, scheduler.Admission{Reason: job.OwnerLost, Detail: "the submission was sent again through another owner"}))
 	}
 	earlier.next = later
 	p.abort(now, earlier, e, job.OwnerLost)
@@ -325,7 +325,7 @@
 		if earlier := p.latestTransient[key.id]; earlier != nil && earlier.next != nil && earlier.next.offered.Owner == key.owner {
 			later := earlier.next
 			earlier.next = nil
-			p.refuse(e, later.report, notStartedOutcomes(later.offered.Tasks, scheduler.Verdict{Reason: job.CancelledByCall}))
+			p.refuse(e, later.report, notStartedOutcomes(later.offered.Tasks, scheduler.Admission{Reason: job.CancelledByCall}))
 			return
 		}
 		p.abort(now, p.batches[key], e, job.CancelledByCall)
--- a/internal/holder/task.go
+++ b/internal/holder/task.go
@@ -239,7 +239,7 @@
 		TargetRefused: res.Refusal == target.Busy || res.Refusal == target.Leaving || res.Refusal == target.NoRoom,
 		Unanswered:    res.Refusal == target.Unanswered,
 		Lost:          res.Reason == job.TargetLost,
-		NoRoom:        res.Refusal == target.NoRoom,
+		NoCapacity:    res.Refusal == target.NoRoom,
 	}
 }
 
--- a/internal/holder/transient_test.go
+++ b/internal/holder/transient_test.go
@@ -118,7 +118,7 @@
 		synctest.Wait()
 		qt.Assert(t, h.Owners(), qt.HasLen, 2)
 		right.ended.Store(true)
-		h.DropLapsed()
+		h.DropUnauthorized()
 		qt.Assert(t, h.Drain(t.Context()), qt.IsNil)
 		qt.Assert(t, lost.tally(), qt.DeepEquals, tally{"erred holder_lost": 1})
 		qt.Assert(t, other.tally(), qt.DeepEquals, tally{"done": 1})
--- a/internal/replay/crash_test.go
+++ b/internal/replay/crash_test.go
@@ -60,7 +60,7 @@
 func TestCrashingTasksDoNotStarveOthers(t *testing.T) {
 	noReports, counting := defaultSite(), defaultSite()
 	noReports.noCrashReports = true
-	counting.opts.NoAlone = true
+	counting.opts.NoSuspectIsolation = true
 	for _, share := range []float64{0, 0.005, 0.02, 0.05} {
 		seeds := 2
 		current := measureCrashes(t, defaultSite(), share, seeds)
--- a/internal/replay/deployments_test.go
+++ b/internal/replay/deployments_test.go
@@ -66,9 +66,9 @@
 func decisions() []decision {
 	return []decision{
 		{"jobs stay whole", func(s *site) { s.costs.WholeJobShare = 0 }},
-		{"patience", func(s *site) { s.opts.NoPatience = true }},
-		{"expected ends", func(s *site) { s.opts.NoExpectedEnds = true }},
-		{"begun kept", func(s *site) { s.opts.NoBegunKept = true }},
+		{"patience", func(s *site) { s.opts.NoWaitLimit = true }},
+		{"expected ends", func(s *site) { s.opts.NoEndEstimates = true }},
+		{"begun kept", func(s *site) { s.opts.NoProgressPriority = true }},
 		{"objectives", func(s *site) { s.opts.NoObjectives = true }},
 		{"sizes", func(s *site) { s.opts.NoSizes = true }},
 		{"estimates", func(s *site) { s.opts.NoEstimates = true }},
--- a/internal/replay/overload_test.go
+++ b/internal/replay/overload_test.go
@@ -87,7 +87,7 @@
 func TestPatienceBalancesKinds(t *testing.T) {
 	with := mean(t, "evened", defaultSite(), steadyLoad(2.5))
 	s := defaultSite()
-	s.opts.NoPatience = true
+	s.opts.NoWaitLimit = true
 	without := mean(t, "all of the slack", s, steadyLoad(2.5))
 	qt.Check(t, with.kinds["check"] > without.kinds["check"]+0.05, qt.IsTrue)
 	qt.Check(t, with.credit > without.credit, qt.IsTrue)
--- a/internal/runs/answers_test.go
+++ b/internal/runs/answers_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.delay = time.Hour
-		w.lose = func(order string) bool { return order == "start" }
+		w.lose = func(request string) bool { return request == "start" }
 		s := NewSession(Options{Orders: w})
 		res := s.Start(t.Context(), taskOf("a", 1))
 		qt.Assert(t, res.Status, qt.Equals, job.TaskNotStarted)
--- a/internal/runs/bound_test.go
+++ b/internal/runs/bound_test.go
@@ -33,7 +33,7 @@
 		w := newWorker()
 		w.runTime = time.Hour
 		w.delay = time.Hour
-		w.lose = func(order string) bool { return order == "stop" }
+		w.lose = func(request string) bool { return request == "stop" }
 		s := NewSession(Options{Orders: w})
 		go s.Start(t.Context(), taskOf("lost", 1))
 		go s.Start(t.Context(), taskOf("other", 1))
--- a/internal/runs/pace.go
+++ b/internal/runs/pace.go
@@ -24,10 +24,10 @@
 		s.mu.Unlock()
 		return
 	}
-	o := RenewOrder{Epoch: s.epoch, Acked: s.lastAckedEnd}
+	o := PollRequest{Epoch: s.epoch, Acked: s.lastAckedEnd}
 	s.mu.Unlock()
 	p := s.promptPolicy()
-	got, err := firstAnswer(s.ctx, p, func(ctx context.Context) (Look, error) { return s.sendPoll(ctx, o, p.timeout) })
+	got, err := firstAnswer(s.ctx, p, func(ctx context.Context) (PollReply, error) { return s.sendPoll(ctx, o, p.timeout) })
 	if err != nil || got.value.Refusal != Accepted {
 		s.rescheduleCheck(ref, r)
 		return // the poll loop handles failures of the target
--- a/internal/runs/pauses_test.go
+++ b/internal/runs/pauses_test.go
@@ -43,7 +43,7 @@
 	return err
 }
 
-func (w *pausedWorker) Start(ctx context.Context, o StartOrder) (Reply, error) {
+func (w *pausedWorker) Start(ctx context.Context, o StartRequest) (Reply, error) {
 	w.count("start")
 	r, err := w.worker.Start(ctx, o)
 	if e := w.delayAnswer(ctx); e != nil {
@@ -52,7 +52,7 @@
 	return r, err
 }
 
-func (w *pausedWorker) Stop(ctx context.Context, o StopOrder) (Reply, error) {
+func (w *pausedWorker) Stop(ctx context.Context, o StopRequest) (Reply, error) {
 	w.count("stop")
 	r, err := w.worker.Stop(ctx, o)
 	if e := w.delayAnswer(ctx); e != nil {
@@ -61,11 +61,11 @@
 	return r, err
 }
 
-func (w *pausedWorker) Renew(ctx context.Context, o RenewOrder) (Look, error) {
+func (w *pausedWorker) Renew(ctx context.Context, o PollRequest) (PollReply, error) {
 	w.count("renew")
 	l, err := w.worker.Renew(ctx, o)
 	if e := w.delayAnswer(ctx); e != nil {
-		return Look{}, e
+		return PollReply{}, e
 	}
 	return l, err
 }
@@ -74,7 +74,7 @@
 // notice a short delay. The number of calls must not multiply: each poll costs processor time, and
 // an entry that is short of it would pause even more.
 func TestShortPausesDoNotMultiplyCalls(t *testing.T) {
-	calls := func(pause time.Duration) (looks, starts, done int) {
+	calls := func(pause time.Duration) (polls, starts, done int) {
 		synctest.Test(t, func(t *testing.T) {
 			w := &pausedWorker{worker: newWorker(), counts: map[string]int{}}
 			w.worker.runTime = 200 * time.Millisecond
@@ -102,12 +102,12 @@
 			}
 			callers.Wait()
 			w.mu.Lock()
-			looks, starts = w.counts["renew"], w.counts["start"]
+			polls, starts = w.counts["renew"], w.counts["start"]
 			w.mu.Unlock()
 			s.Close()
 			drain()
 		})
-		return looks, starts, done
+		return polls, starts, done
 	}
 	l0, s0, d0 := calls(0)
 	l1, s1, d1 := calls(130 * time.Millisecond)
--- a/internal/runs/poll.go
+++ b/internal/runs/poll.go
@@ -112,7 +112,7 @@
 		s.cancelPoll = cancel
 	}
 	s.mu.Unlock()
-	got, err := firstAnswer(ctx, p, func(ctx context.Context) (Look, error) { return s.sendPoll(ctx, o, p.timeout) })
+	got, err := firstAnswer(ctx, p, func(ctx context.Context) (PollReply, error) { return s.sendPoll(ctx, o, p.timeout) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cancelPoll = nil
@@ -137,8 +137,8 @@
 // nextPoll returns the next poll request. It renews the lease only while a run of this entry is
 // confirmed, so that no stray run is kept alive, and never while the target is unresponsive. The
 // caller holds the lock.
-func (s *Session) nextPoll(now time.Time) RenewOrder {
-	o := RenewOrder{Epoch: s.epoch, Acked: s.lastSeenEnd}
+func (s *Session) nextPoll(now time.Time) PollRequest {
+	o := PollRequest{Epoch: s.epoch, Acked: s.lastSeenEnd}
 	left := s.maxLease(now)
 	if s.settled && !s.unresponsive && len(s.runs) > 0 {
 		o.WaitMillis = int64(pollWaitShare * float64(max(left, minLease).Milliseconds()))
@@ -217,14 +217,14 @@
 
 // handlePollAnswer processes the answer to a poll and returns the delay before the next one. The
 // caller holds the lock.
-func (s *Session) handlePollAnswer(o RenewOrder, sent time.Time, l *Look) (delay time.Duration) {
+func (s *Session) handlePollAnswer(o PollRequest, sent time.Time, l *PollReply) (delay time.Duration) {
 	s.missedPolls, s.connRefused = 0, false
 	if s.unresponsive {
 		s.unresponsive = false
 		s.opts.Log.Info("target answers again", "target", s.opts.Target, "epoch", s.epoch)
 	}
 	switch {
-	case l.Refusal == Elsewhere:
+	case l.Refusal == WrongIncarnation:
 		s.endSessionLocked("another incarnation of the target listens at its address")
 		return 0
 	case o.Epoch == 0:
@@ -266,7 +266,7 @@
 // handleFenced handles the refusal of a poll because the target has seen a higher epoch. A session
 // that was just opened claims a higher epoch, since it acts on the latest information about the
 // target; any other session has lost the target to another entry.
-func (s *Session) handleFenced(o RenewOrder) (delay time.Duration) {
+func (s *Session) handleFenced(o PollRequest) (delay time.Duration) {
 	if s.epoch != o.Epoch {
 		return 0
 	}
@@ -297,7 +297,7 @@
 }
 
 // lastKnownEnd returns the number of the latest end that the answer to a poll accounts for.
-func lastKnownEnd(o RenewOrder, l *Look) uint64 {
+func lastKnownEnd(o PollRequest, l *PollReply) uint64 {
 	last := o.Acked
 	for i := range l.Ended {
 		last = max(last, l.Ended[i].Number)
@@ -316,7 +316,7 @@
 			return erred(job.TargetLost, "the run made no progress or was too slow, and was stopped", true)
 		}
 		return erred(job.CancelledByCall, "the run was stopped", true)
-	case Lapsed:
+	case LeaseExpired:
 		return erred(job.TargetLost, "the target's lease expired", true)
 	}
 	return erred(job.TargetLost, "the run ended without a result", true)
@@ -324,7 +324,7 @@
 
 // reconcileRunning compares the runs on the target with the expected ones, and returns the number
 // of stray runs.
-func (s *Session) reconcileRunning(o RenewOrder, sent time.Time, running []Running) (strays int) {
+func (s *Session) reconcileRunning(o PollRequest, sent time.Time, running []Running) (strays int) {
 	listed := make(map[Ref]int, len(running))
 	for _, x := range running {
 		listed[x.Task] = x.Run
@@ -360,7 +360,7 @@
 // this session had abandoned it.
 func (s *Session) stopStray(x Running) {
 	s.mu.Lock()
-	o := StopOrder{Task: x.Task, Run: x.Run, Epoch: s.epoch}
+	o := StopRequest{Task: x.Task, Run: x.Run, Epoch: s.epoch}
 	s.mu.Unlock()
 	s.opts.Log.Info("stopping a stray run", "target", s.opts.Target, "submission", x.Task.Submission, "task", x.Task.Index, "run", x.Run)
 	if _, err := s.requestStop(o); err != nil {
--- a/internal/runs/repeat.go
+++ b/internal/runs/repeat.go
@@ -195,7 +195,7 @@
 
 // pollPolicy returns the policy for a poll. It shortens the poll's wait at the target where
 // requests get lost, and removes it while a start is in doubt. The caller holds the lock.
-func (s *Session) pollPolicy(now time.Time, o *RenewOrder) callPolicy {
+func (s *Session) pollPolicy(now time.Time, o *PollRequest) callPolicy {
 	if s.anyStartInDoubt() {
 		o.WaitMillis = 0
 	}
@@ -227,7 +227,7 @@
 // waits: when the link to a target suddenly becomes slow, only the answers that come too late show
 // how long to wait for the next ones. If copies ended with the caller's wait, their answer times
 // would never be recorded, and each start would be sent as often as one that gets lost.
-func (s *Session) sendStart(ctx context.Context, o StartOrder) (Reply, error) {
+func (s *Session) sendStart(ctx context.Context, o StartRequest) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxAnswerWait)
 	defer cancel()
 	begun := time.Now()
@@ -241,11 +241,11 @@
 }
 
 // sendPoll sends one copy of a poll.
-func (s *Session) sendPoll(ctx context.Context, o RenewOrder, timeout time.Duration) (Look, error) {
+func (s *Session) sendPoll(ctx context.Context, o PollRequest, timeout time.Duration) (PollReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	begun := time.Now()
-	s.opts.Calls.Looks.Add(1)
+	s.opts.Calls.Polls.Add(1)
 	l, err := s.opts.Orders.Renew(ctx, o)
 	s.recordCallOutcome(begun, err)
 	if err == nil && l.Refusal == Accepted {
@@ -259,7 +259,7 @@
 }
 
 // requestStop sends a stop request until a copy of it is answered.
-func (s *Session) requestStop(o StopOrder) (Reply, error) {
+func (s *Session) requestStop(o StopRequest) (Reply, error) {
 	p := s.promptPolicy()
 	got, err := firstAnswer(s.ctx, p, func(ctx context.Context) (Reply, error) {
 		ctx, cancel := context.WithTimeout(ctx, p.timeout)
--- a/internal/runs/repeat_test.go
+++ b/internal/runs/repeat_test.go
@@ -16,8 +16,8 @@
 
 // loseFirst loses the first n requests of a kind.
 func loseFirst(kind string, n int) func(string) bool {
-	return func(order string) bool {
-		if order != kind {
+	return func(request string) bool {
+		if request != kind {
 			return false
 		}
 		n--
@@ -93,7 +93,7 @@
 		time.Sleep(time.Second)
 		w.set(func() { w.loseTask = "doubted" })
 		go s.Start(t.Context(), taskOf("doubted", 1))
-		w.set(func() { w.lose = func(order string) bool { return order == "renew" } })
+		w.set(func() { w.lose = func(request string) bool { return request == "renew" } })
 		time.Sleep(200 * time.Millisecond) // in doubt by now, and not yet resolved by a poll
 		begun := time.Now()
 		done := make(chan target.Result, 1)
@@ -133,9 +133,9 @@
 // everyOther loses every second request of each kind.
 func everyOther() func(string) bool {
 	seen := map[string]int{}
-	return func(order string) bool {
-		seen[order]++
-		return seen[order]%2 == 0
+	return func(request string) bool {
+		seen[request]++
+		return seen[request]%2 == 0
 	}
 }
 
--- a/internal/runs/orders.go
+++ b/internal/runs/requests.go
@@ -30,23 +30,23 @@
 	Accepted Refusal = iota
 	// Fenced means that the target has seen a higher epoch.
 	Fenced
-	// Outnumbered means that the target has had a run of the task with this number or a higher
+	// StaleRunNumber means that the target has had a run of the task with this number or a higher
 	// one.
-	Outnumbered
+	StaleRunNumber
 	// Late means that the lease in the request had expired when the request arrived.
 	Late
-	// NoRoom means that the target has no free capacity for the task.
-	NoRoom
-	// Unwell means that the target accepts no starts at the moment.
-	Unwell
-	// Elsewhere means that another incarnation of the target listens at its address.
-	Elsewhere
+	// NoCapacity means that the target has no free capacity for the task.
+	NoCapacity
+	// Unavailable means that the target accepts no starts at the moment.
+	Unavailable
+	// WrongIncarnation means that another incarnation of the target listens at its address.
+	WrongIncarnation
 	// Rejected means that the request itself is invalid.
 	Rejected
 )
 
-// StartOrder is a request to start one run of a task.
-type StartOrder struct {
+// StartRequest is a request to start one run of a task.
+type StartRequest struct {
 	Task  Ref
 	Run   int
 	Spec  []byte
@@ -55,15 +55,15 @@
 	Until int64
 }
 
-// StopOrder is a request to stop one run of a task.
-type StopOrder struct {
+// StopRequest is a request to stop one run of a task.
+type StopRequest struct {
 	Task  Ref
 	Run   int
 	Epoch uint64
 }
 
-// RenewOrder is a poll: it renews the lease and asks which runs exist and which have ended.
-type RenewOrder struct {
+// PollRequest is a poll: it renews the lease and asks which runs exist and which have ended.
+type PollRequest struct {
 	Epoch uint64
 	// Until is the end of the lease in milliseconds of the target's clock; zero leaves the lease
 	// unchanged.
@@ -90,17 +90,17 @@
 	Percent int
 }
 
-// How is the way in which a run ended.
-type How uint8
+// EndState is the way in which a run ended.
+type EndState uint8
 
 // Ways in which a run ends.
 const (
-	Done How = iota + 1
+	Done EndState = iota + 1
 	// Failed means that the task or the target failed.
 	Failed
 	Stopped
-	// Lapsed means that the lease expired.
-	Lapsed
+	// LeaseExpired means that the lease expired.
+	LeaseExpired
 	// Broken is any other end without a result.
 	Broken
 )
@@ -110,21 +110,21 @@
 	Number uint64
 	Task   Ref
 	Run    int
-	How    How
+	How    EndState
 }
 
-// Look is the target's answer to a poll.
-type Look struct {
+// PollReply is the target's answer to a poll.
+type PollReply struct {
 	Reply
 	Running []Running
 	Ended   []End
 }
 
-// Orders sends requests to one target. After an error the request may be carried out or not, now
+// TargetClient sends requests to one target. After an error the request may be carried out or not, now
 // or later.
-type Orders interface {
-	Start(ctx context.Context, o StartOrder) (Reply, error)
-	Stop(ctx context.Context, o StopOrder) (Reply, error)
-	Renew(ctx context.Context, o RenewOrder) (Look, error)
+type TargetClient interface {
+	Start(ctx context.Context, o StartRequest) (Reply, error)
+	Stop(ctx context.Context, o StopRequest) (Reply, error)
+	Renew(ctx context.Context, o PollRequest) (PollReply, error)
 	Close()
 }
--- a/internal/runs/session.go
+++ b/internal/runs/session.go
@@ -53,7 +53,7 @@
 
 // Options configures a session.
 type Options struct {
-	Orders Orders
+	Orders TargetClient
 	Target job.TargetID
 	// Salt makes the epochs of two entries differ in their low bits.
 	Salt uint16
@@ -75,7 +75,7 @@
 }
 
 // Calls counts the requests sent to targets, including copies. It is safe for concurrent use.
-type Calls struct{ Starts, Looks, Stops atomic.Uint64 }
+type Calls struct{ Starts, Polls, Stops atomic.Uint64 }
 
 // Session sends requests to one target and renews its lease while any run of this entry is active
 // there. It implements holder.Connection.
--- a/internal/runs/session_test.go
+++ b/internal/runs/session_test.go
@@ -33,7 +33,7 @@
 	// runTime is how long a run takes. lose decides which answers are lost, and delay is how much
 	// later a request whose answer is lost is carried out.
 	runTime      time.Duration
-	lose         func(order string) bool
+	lose         func(request string) bool
 	delay        time.Duration
 	unresponsive bool
 	// randomDelay replaces delay where it is set. All starts of the submission loseTask get lost.
@@ -66,7 +66,7 @@
 		w.mu.Lock()
 		if len(w.running) > 0 && w.clock() > w.until {
 			for ref := range w.running {
-				w.end(ref, Lapsed)
+				w.end(ref, LeaseExpired)
 			}
 		}
 		w.mu.Unlock()
@@ -74,7 +74,7 @@
 }
 
 // end records the end of a run. The caller holds the lock.
-func (w *worker) end(ref Ref, how How) {
+func (w *worker) end(ref Ref, how EndState) {
 	x := w.running[ref]
 	if x == nil {
 		return
@@ -93,10 +93,10 @@
 }
 
 // carryOut carries out a request, now or later, and loses its answer where lose says so.
-func (w *worker) carryOut(ctx context.Context, order string, do func() Reply) (Reply, error) {
+func (w *worker) carryOut(ctx context.Context, request string, do func() Reply) (Reply, error) {
 	w.mu.Lock()
 	unresponsive := w.unresponsive
-	lost := w.lose != nil && w.lose(order)
+	lost := w.lose != nil && w.lose(request)
 	delay := w.delay
 	if lost && w.randomDelay != nil {
 		delay = w.randomDelay()
@@ -134,7 +134,7 @@
 	return w.loseTask != "" && w.loseTask == ref.Submission
 }
 
-func (w *worker) Start(ctx context.Context, o StartOrder) (Reply, error) {
+func (w *worker) Start(ctx context.Context, o StartRequest) (Reply, error) {
 	if w.losesTask(o.Task) {
 		<-ctx.Done()
 		return Reply{}, errLost
@@ -148,9 +148,9 @@
 			r.Refusal = Late
 		case w.running[o.Task] != nil && w.running[o.Task].run == o.Run:
 		case o.Run <= w.highest[o.Task]:
-			r.Refusal = Outnumbered
+			r.Refusal = StaleRunNumber
 		case w.full:
-			r.Refusal = NoRoom
+			r.Refusal = NoCapacity
 		default:
 			w.extend(o.Until)
 			w.highest[o.Task] = o.Run
@@ -166,7 +166,7 @@
 	})
 }
 
-func (w *worker) Stop(ctx context.Context, o StopOrder) (Reply, error) {
+func (w *worker) Stop(ctx context.Context, o StopRequest) (Reply, error) {
 	return w.carryOut(ctx, "stop", func() Reply {
 		r := Reply{Clock: w.clock()}
 		if w.fenced(o.Epoch) {
@@ -179,8 +179,8 @@
 	})
 }
 
-func (w *worker) Renew(ctx context.Context, o RenewOrder) (Look, error) {
-	var l Look
+func (w *worker) Renew(ctx context.Context, o PollRequest) (PollReply, error) {
+	var l PollReply
 	reply, err := w.carryOut(ctx, "renew", func() Reply {
 		r := Reply{Clock: w.clock()}
 		if w.fenced(o.Epoch) {
@@ -287,7 +287,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorker()
 				w.runTime, w.delay = 600*time.Millisecond, c.delay
-				w.lose = func(order string) bool { return order == "start" }
+				w.lose = func(request string) bool { return request == "start" }
 				s := NewSession(Options{Orders: w})
 				res := s.Start(t.Context(), taskOf("a", 1))
 				qt.Assert(t, res.Status, qt.Equals, c.want)
@@ -361,9 +361,9 @@
 		w := newWorker()
 		w.runTime, w.delay = time.Hour, time.Hour
 		losses := 1
-		w.lose = func(order string) bool {
+		w.lose = func(request string) bool {
 			losses--
-			return order == "stop" && losses >= 0
+			return request == "stop" && losses >= 0
 		}
 		s := NewSession(Options{Orders: w})
 		done := make(chan target.Result, 1)
--- a/internal/runs/stale_start_test.go
+++ b/internal/runs/stale_start_test.go
@@ -34,7 +34,7 @@
 		time.AfterFunc(10*time.Millisecond, func() {
 			// Stop requests get lost for a while, so that the stray run goes on until its lease
 			// ends.
-			w.set(func() { w.delay, w.lose = time.Hour, func(order string) bool { return order == "stop" } })
+			w.set(func() { w.delay, w.lose = time.Hour, func(request string) bool { return request == "stop" } })
 			taken <- NewSession(Options{Orders: w, Salt: 2})
 		})
 		res := first.Start(t.Context(), taskOf("a", 1))
@@ -80,7 +80,7 @@
 	released, broken chan struct{}
 }
 
-func (w *lateWorker) Renew(ctx context.Context, o RenewOrder) (Look, error) {
+func (w *lateWorker) Renew(ctx context.Context, o PollRequest) (PollReply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -92,13 +92,13 @@
 	}()
 	select {
 	case <-w.broken:
-		return Look{}, errLost
+		return PollReply{}, errLost
 	default:
 		return w.worker.Renew(ctx, o)
 	}
 }
 
-func (w *lateWorker) Start(ctx context.Context, o StartOrder) (Reply, error) {
+func (w *lateWorker) Start(ctx context.Context, o StartRequest) (Reply, error) {
 	if o.Task == w.delayed {
 		select {
 		case <-w.released:
@@ -166,7 +166,7 @@
 	}
 }
 
-func (w *slowWorker) Start(ctx context.Context, o StartOrder) (Reply, error) {
+func (w *slowWorker) Start(ctx context.Context, o StartRequest) (Reply, error) {
 	w.count("start")
 	r, err := w.worker.Start(ctx, o)
 	if e := w.delayAnswer(ctx); e != nil {
@@ -175,11 +175,11 @@
 	return r, err
 }
 
-func (w *slowWorker) Renew(ctx context.Context, o RenewOrder) (Look, error) {
+func (w *slowWorker) Renew(ctx context.Context, o PollRequest) (PollReply, error) {
 	w.count("renew")
 	l, err := w.worker.Renew(ctx, o)
 	if e := w.delayAnswer(ctx); e != nil {
-		return Look{}, e
+		return PollReply{}, e
 	}
 	return l, err
 }
--- a/internal/runs/start.go
+++ b/internal/runs/start.go
@@ -17,7 +17,7 @@
 func (s *Session) requestStart(ref Ref, r *run, t *target.Task) {
 	renumbered, inDoubt := 0, false
 	for refusals := 0; refusals < maxStartRefusals; {
-		o, ok := s.newStartOrder(ref, r, t.Payload)
+		o, ok := s.newStartRequest(ref, r, t.Payload)
 		if !ok {
 			s.abandonStart(ref, r, inDoubt, notStarted(target.Busy, "a run that has to end is still on the target"))
 			return
@@ -53,7 +53,7 @@
 				return
 			}
 			continue
-		case Outnumbered:
+		case StaleRunNumber:
 			if inDoubt {
 				break // perhaps by a copy of this request
 			}
@@ -68,9 +68,9 @@
 		case Late:
 			refusals++ // the answer brought a new clock reading
 			continue
-		case NoRoom:
+		case NoCapacity:
 			s.resync()
-		case Elsewhere:
+		case WrongIncarnation:
 			s.endSession("another incarnation of the target listens at its address")
 		}
 		s.abandonStart(ref, r, inDoubt, refusalResult(reply))
@@ -111,21 +111,21 @@
 
 func refusalResult(reply Reply) target.Result {
 	switch reply.Refusal {
-	case Elsewhere:
+	case WrongIncarnation:
 		return notStarted(target.Leaving, "another incarnation of the target listens at its address")
-	case NoRoom:
+	case NoCapacity:
 		return notStarted(target.NoRoom, "the target has no free capacity for the task: "+reply.Detail)
-	case Unwell:
+	case Unavailable:
 		return notStarted(target.Busy, "the target accepts no starts at the moment: "+reply.Detail)
 	}
 	return notStarted(target.Busy, "the target refused the task: "+reply.Detail)
 }
 
-// newStartOrder returns a start request, or false if the target's lease can't be extended for it.
-func (s *Session) newStartOrder(ref Ref, r *run, spec []byte) (StartOrder, bool) {
+// newStartRequest returns a start request, or false if the target's lease can't be extended for it.
+func (s *Session) newStartRequest(ref Ref, r *run, spec []byte) (StartRequest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o := StartOrder{Task: ref, Run: r.number, Spec: spec, Epoch: s.epoch}
+	o := StartRequest{Task: ref, Run: r.number, Spec: spec, Epoch: s.epoch}
 	now := time.Now()
 	left := s.maxLease(now)
 	// A run that was reported as over in the meantime may have been started elsewhere.
@@ -230,8 +230,8 @@
 	return nil
 }
 
-// Ending notes that a task has to end. The stop request follows.
-func (s *Session) Ending(submission job.ID, index int) {
+// NotifyStop notes that a task has to end. The stop request follows.
+func (s *Session) NotifyStop(submission job.ID, index int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.runs[Ref{submission, index}]; r != nil {
@@ -270,7 +270,7 @@
 	for range maxStopAttempts {
 		s.mu.Lock()
 		over := s.runs[ref] != r
-		o := StopOrder{Task: ref, Run: r.number, Epoch: s.epoch}
+		o := StopRequest{Task: ref, Run: r.number, Epoch: s.epoch}
 		s.mu.Unlock()
 		if over {
 			return
--- a/internal/runs/wire_test.go
+++ b/internal/runs/wire_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func (x *wire) Start(ctx context.Context, o StartOrder) (r Reply, err error) {
+func (x *wire) Start(ctx context.Context, o StartRequest) (r Reply, err error) {
 	var got Reply
 	if err = x.call(ctx, func() { got, _ = x.w.Start(context.Background(), o) }); err == nil {
 		r = got
@@ -67,7 +67,7 @@
 	return r, err
 }
 
-func (x *wire) Stop(ctx context.Context, o StopOrder) (r Reply, err error) {
+func (x *wire) Stop(ctx context.Context, o StopRequest) (r Reply, err error) {
 	var got Reply
 	if err = x.call(ctx, func() { got, _ = x.w.Stop(context.Background(), o) }); err == nil {
 		r = got
@@ -75,8 +75,8 @@
 	return r, err
 }
 
-func (x *wire) Renew(ctx context.Context, o RenewOrder) (l Look, err error) {
-	var got Look
+func (x *wire) Renew(ctx context.Context, o PollRequest) (l PollReply, err error) {
+	var got PollReply
 	if err = x.call(ctx, func() { got, _ = x.w.Renew(context.Background(), o) }); err == nil {
 		l = got
 	}
@@ -163,7 +163,7 @@
 								continue
 							case <-time.After(time.Until(proof.Add(950 * time.Millisecond))):
 							}
-							s.Ending(ref.Submission, ref.Index)
+							s.NotifyStop(ref.Submission, ref.Index)
 							go s.Stop(context.Background(), ref.Submission, ref.Index)
 							time.Sleep(350 * time.Millisecond)
 							// A later owner runs the task on another target.
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -84,7 +84,7 @@
 	starts := p.Next(now).Starts
 	qt.Assert(t, starts, qt.HasLen, 8)
 	for _, s := range starts[2:] {
-		qt.Assert(t, p.Retry(now, s.Key, Result{Status: job.TaskNotStarted, TargetRefused: true, NoRoom: true}), qt.IsTrue)
+		qt.Assert(t, p.Retry(now, s.Key, Result{Status: job.TaskNotStarted, TargetRefused: true, NoCapacity: true}), qt.IsTrue)
 	}
 	for range 20 {
 		now = now.Add(50 * time.Millisecond)
--- a/internal/scheduler/finish.go
+++ b/internal/scheduler/finish.go
@@ -124,7 +124,7 @@
 	p.removeTargetIfIdle(tg)
 	t.target = nil
 	expired := !b.deadline.IsZero() && !b.flagLate && !now.Before(b.deadline)
-	if r.NoRoom {
+	if r.NoCapacity {
 		p.limitToUsed(now, tg)
 	}
 	if b.cancelled || expired || t.attempts >= maxAttempts {
@@ -132,7 +132,7 @@
 		p.removeBatchIfIdle(b)
 		return false
 	}
-	if r.Suspect && !p.opts.NoAlone {
+	if r.Suspect && !p.opts.NoSuspectIsolation {
 		b.markSuspect(t)
 	}
 	p.requeueTask(now, b, t, tg)
@@ -143,7 +143,7 @@
 // crashed its target, goes on.
 func (p *Pool) Suspect(k Key) {
 	b := p.batches[batchKey{k.Owner, k.Submission}]
-	if b == nil || p.opts.NoAlone {
+	if b == nil || p.opts.NoSuspectIsolation {
 		return
 	}
 	if t := b.find(k.Index); t != nil && t.state == taskRunning {
--- a/internal/scheduler/objective.go
+++ b/internal/scheduler/objective.go
@@ -62,7 +62,7 @@
 // delay more urgent ones.
 func (p *Pool) objectiveOrder(b *batch) int64 {
 	at := b.objective.latestStart
-	if b.objective.late && (!b.hasProgress() || p.opts.NoBegunKept) {
+	if b.objective.late && (!b.hasProgress() || p.opts.NoProgressPriority) {
 		at = at.Add(lateOrderShift)
 	}
 	return at.UnixNano()
@@ -79,7 +79,7 @@
 					break
 				}
 				b := head.Value
-				if !b.objective.set() || b.objective.late || b.hasProgress() && !p.opts.NoBegunKept || !now.After(b.objective.latestStart) {
+				if !b.objective.set() || b.objective.late || b.hasProgress() && !p.opts.NoProgressPriority || !now.After(b.objective.latestStart) {
 					break
 				}
 				b.objective.late = true
@@ -110,12 +110,12 @@
 // admitObjective decides on the admission of a batch with an objective. A batch that
 // is not expected to meet its objective is refused on arrival, so that its caller can
 // try elsewhere in time.
-func (p *Pool) admitObjective(now time.Time, b *batch) Verdict {
+func (p *Pool) admitObjective(now time.Time, b *batch) Admission {
 	slack := b.objective.latestStart.Sub(b.arrived)
 	p.meanSlack += slackWeight * (slack.Seconds() - p.meanSlack)
 	wait := p.expectedWait(b, slack)
 	fraction := p.patience.Part(b.meta.Service)
-	if p.opts.NoPatience {
+	if p.opts.NoWaitLimit {
 		fraction = 1
 	}
 	maxWait := time.Duration(fraction * float64(slack))
@@ -125,7 +125,7 @@
 	if admitted {
 		return p.admitIfUseful(now, b, wait)
 	}
-	return Verdict{
+	return Admission{
 		Reason:     job.Overloaded,
 		Detail:     "the expected wait of " + wait.Round(time.Millisecond).String() + " is more than " + maxWait.Round(time.Millisecond).String() + " of the " + slack.Round(time.Millisecond).String() + " that the objective leaves",
 		RetryAfter: p.addJitter(max(wait, minRetryAfter)),
@@ -134,15 +134,15 @@
 
 // admitIfUseful accepts a batch unless the running tasks are expected to occupy the
 // slots until its answer is no longer useful.
-func (p *Pool) admitIfUseful(now time.Time, b *batch, wait time.Duration) Verdict {
-	if wait == 0 || p.opts.NoExpectedEnds {
-		return Verdict{Accepted: true}
+func (p *Pool) admitIfUseful(now time.Time, b *batch, wait time.Duration) Admission {
+	if wait == 0 || p.opts.NoEndEstimates {
+		return Admission{Accepted: true}
 	}
 	earliestStart, useful := p.earliestStart(now, b), b.objective.latestUsefulStart.Sub(now)
 	if earliestStart <= useful {
-		return Verdict{Accepted: true}
+		return Admission{Accepted: true}
 	}
-	return Verdict{
+	return Admission{
 		Reason:     job.Overloaded,
 		Detail:     "what runs goes on for " + earliestStart.Round(time.Millisecond).String() + ", longer than the " + useful.Round(time.Millisecond).String() + " for which an answer is of use",
 		RetryAfter: p.addJitter(max(earliestStart, minRetryAfter)),
--- a/internal/scheduler/objective_test.go
+++ b/internal/scheduler/objective_test.go
@@ -266,7 +266,7 @@
 		}
 		return b
 	}
-	play := func(opts Options) Verdict {
+	play := func(opts Options) Admission {
 		p := NewWith("render", 1, opts)
 		p.Configure(epoch, testFile())
 		p.SetTarget(epoch, job.Target{ID: "w", Slots: 2, Connections: 64})
@@ -278,5 +278,5 @@
 	qt.Assert(t, v.Accepted, qt.IsFalse)
 	qt.Assert(t, v.Reason, qt.Equals, job.Overloaded)
 	qt.Assert(t, v.RetryAfter > 4*time.Second, qt.IsTrue, qt.Commentf("%v", v.RetryAfter))
-	qt.Assert(t, play(Options{NoExpectedEnds: true}).Accepted, qt.IsTrue)
+	qt.Assert(t, play(Options{NoEndEstimates: true}).Accepted, qt.IsTrue)
 }
--- a/internal/scheduler/offer.go
+++ b/internal/scheduler/offer.go
@@ -15,24 +15,24 @@
 const noTargetRetry = time.Second
 
 // Offer admits all tasks of a batch or none.
-func (p *Pool) Offer(now time.Time, m *job.Batch) Verdict {
+func (p *Pool) Offer(now time.Time, m *job.Batch) Admission {
 	key := batchKey{m.Owner, m.Submission}
 	if old := p.batches[key]; old != nil {
 		if old.cancelled {
-			return Verdict{Reason: job.IDReused, Detail: "the submission was cancelled and still has running tasks"}
+			return Admission{Reason: job.IDReused, Detail: "the submission was cancelled and still has running tasks"}
 		}
-		return Verdict{Accepted: true}
+		return Admission{Accepted: true}
 	}
 	if len(m.Tasks) == 0 {
-		return Verdict{Reason: job.Malformed, Detail: "the batch has no task"}
+		return Admission{Reason: job.Malformed, Detail: "the batch has no task"}
 	}
 	if p.ranked.Len() == 0 {
-		return Verdict{Reason: job.NoTarget, Detail: "no target of pool " + p.name + " is held here", RetryAfter: noTargetRetry}
+		return Admission{Reason: job.NoTarget, Detail: "no target of pool " + p.name + " is held here", RetryAfter: noTargetRetry}
 	}
 	for i := range m.Tasks {
 		if !p.feasible(m.Tasks[i].Size()) {
 			detail := fmt.Sprintf("task %d is larger than any target of pool %s", m.Tasks[i].Index, p.name)
-			return Verdict{Reason: job.Infeasible, Detail: detail}
+			return Admission{Reason: job.Infeasible, Detail: detail}
 		}
 	}
 	b := p.newBatch(now, key, m)
@@ -40,13 +40,13 @@
 	if v := p.admit(now, b); !v.Accepted && !(m.Committed && v.Reason == job.Overloaded) {
 		return v
 	}
-	if !p.opts.NoAlone {
+	if !p.opts.NoSuspectIsolation {
 		b.queueSuspectsFirst()
 	}
 	p.batches[key] = b
 	p.enqueue(now, b)
 	p.updateDeadline(b)
-	return Verdict{Accepted: true}
+	return Admission{Accepted: true}
 }
 
 func (p *Pool) newBatch(now time.Time, key batchKey, m *job.Batch) *batch {
@@ -126,26 +126,26 @@
 // their teams.
 var queueFactor = [classes]int{job.UrgencyBatch: 1, job.UrgencyInteractive: 4}
 
-func (p *Pool) admit(now time.Time, b *batch) Verdict {
+func (p *Pool) admit(now time.Time, b *batch) Admission {
 	free := p.maxQueued() - p.queued - len(b.tasks)
 	c := &p.classes[b.class]
 	factor := queueFactor[b.class]
 	crowded := !p.opts.NoAdmission && !b.objective.set() && factor > 0 && c.queued > 0 && c.queued+len(b.tasks) > factor*(free+len(b.tasks))
 	if (free < 0 && p.queued > 0) || crowded {
-		return Verdict{Reason: job.QueueFull, Detail: "the queue of pool " + p.name + " is full", RetryAfter: p.drainTime(len(b.tasks) - min(0, free))}
+		return Admission{Reason: job.QueueFull, Detail: "the queue of pool " + p.name + " is full", RetryAfter: p.drainTime(len(b.tasks) - min(0, free))}
 	}
 	if p.opts.NoAdmission {
-		return Verdict{Accepted: true}
+		return Admission{Accepted: true}
 	}
 	if b.objective.set() {
 		return p.admitObjective(now, b)
 	}
 	v := admission.Decide(p.backlog(now, b), p.request(now, b))
 	if v.Admit {
-		return Verdict{Accepted: true}
+		return Admission{Accepted: true}
 	}
 	detail := fmt.Sprintf("expected wait %v, expected end after %v", v.Wait.Round(time.Millisecond), v.Finish.Round(time.Millisecond))
-	return Verdict{Reason: v.Reason, Detail: detail, RetryAfter: p.addJitter(v.RetryAfter)}
+	return Admission{Reason: v.Reason, Detail: detail, RetryAfter: p.addJitter(v.RetryAfter)}
 }
 
 // retryJitter is the largest random increase of a retry delay, as a fraction of it,
--- a/internal/scheduler/options.go
+++ b/internal/scheduler/options.go
@@ -24,17 +24,17 @@
 	// NoSizes measures capacity in slots even where task sizes limit it, and places
 	// tasks by occupancy alone.
 	NoSizes bool
-	// NoExpectedEnds accepts a job with an objective even if the running tasks are
+	// NoEndEstimates accepts a job with an objective even if the running tasks are
 	// expected to occupy the slots until its answer is no longer useful.
-	NoExpectedEnds bool
-	// NoPatience lets a job with an objective wait for all of its slack, regardless of
+	NoEndEstimates bool
+	// NoWaitLimit lets a job with an objective wait for all of its slack, regardless of
 	// its service and of how late other jobs started.
-	NoPatience bool
-	// NoBegunKept lets the remaining tasks of a partly executed job move behind other
+	NoWaitLimit bool
+	// NoProgressPriority lets the remaining tasks of a partly executed job move behind other
 	// jobs when it is late.
-	NoBegunKept bool
-	// NoAlone runs suspected tasks together with others.
-	NoAlone bool
+	NoProgressPriority bool
+	// NoSuspectIsolation runs suspected tasks together with others.
+	NoSuspectIsolation bool
 	// Placement selects among the targets with free capacity.
 	Placement Placement
 }
--- a/internal/scheduler/rules_test.go
+++ b/internal/scheduler/rules_test.go
@@ -285,7 +285,7 @@
 // is accepted from time to time, since the measured run time may be out of date.
 func TestRefusedKindIsTriedAgain(t *testing.T) {
 	p := smallPool(2, 8)
-	offer := func(ms int) Verdict {
+	offer := func(ms int) Admission {
 		m := batchOf(fmt.Sprint("j", ms), "thumb", 1)
 		m.Tasks[0].Kind = "k"
 		m.Remaining = 500 * time.Millisecond
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -64,8 +64,8 @@
 	Wake time.Time
 }
 
-// Verdict is the admission decision for a batch: all of its tasks or none.
-type Verdict struct {
+// Admission is the admission decision for a batch: all of its tasks or none.
+type Admission struct {
 	Accepted bool
 	// Reason, Detail and RetryAfter are set if the batch is refused.
 	Reason     job.Reason
@@ -89,8 +89,8 @@
 	// Suspect is set if the task may have crashed its target. The task runs alone
 	// on a target from then on.
 	Suspect bool
-	// NoRoom is set if the target reported less free capacity than it announced.
-	NoRoom bool
+	// NoCapacity is set if the target reported less free capacity than it announced.
+	NoCapacity bool
 }
 
 // Running is one started task of a cancelled submission.
