--- a/cmd/vanillagrade/platform.go
+++ b/cmd/vanillagrade/platform.go
@@ -45,7 +45,7 @@
 		return fail(stderr, exitUsage, err)
 	}
 	runtime.GOMAXPROCS(options.Settings.Threads(runtime.GOMAXPROCS(0)))
-	lastIncarnation := discovery.LastLife(ctx, seeds.list(), nil, options.Settings.Name)
+	lastIncarnation := discovery.LastIncarnation(ctx, seeds.list(), nil, options.Settings.Name)
 	options.Suspended = awake.Suspended()
 	options.Incarnation = max(job.Incarnation(time.Now().UnixNano()), lastIncarnation+1)
 	e, err := entry.New(options)
--- a/internal/capacity/discovery.go
+++ b/internal/capacity/discovery.go
@@ -20,16 +20,16 @@
 	Bytes   float64
 }
 
-// newBook returns a book with the given number of known entries.
-func newBook(self job.EntryID, address string, entries int) *discovery.Book {
-	book := discovery.NewBook(discovery.Record{Owner: job.Owner{Entry: self, Incarnation: 1, Zone: "z"}, Address: address})
+// newDirectory returns a directory with the given number of known entries.
+func newDirectory(self job.EntryID, address string, entries int) *discovery.Directory {
+	directory := discovery.NewDirectory(discovery.Record{Owner: job.Owner{Entry: self, Incarnation: 1, Zone: "z"}, Address: address})
 	for i := range entries {
-		book.Learn(time.Now(), discovery.Record{
+		directory.Learn(time.Now(), discovery.Record{
 			Owner:   job.Owner{Entry: job.EntryID(fmt.Sprintf("entry-zone-%d-%03d", i%7, i)), Incarnation: job.Incarnation(time.Now().UnixNano()), Zone: job.Zone(fmt.Sprintf("zone-%d", i%7))},
 			Address: fmt.Sprintf("10.1.%d.%d:7720", i/250, i%250+1),
 		})
 	}
-	return book
+	return directory
 }
 
 // measureDiscovery measures one exchange between two entries that know all others. The
@@ -59,7 +59,7 @@
 	address := l.Addr().String()
 	joiner := func(self job.EntryID, at string) *discovery.Joiner {
 		return discovery.New(discovery.Options{
-			Book: newBook(self, at, entries), Mesh: network.Join(job.Owner{Entry: self, Incarnation: 1, Zone: "z"}),
+			Book: newDirectory(self, at, entries), Mesh: network.Join(job.Owner{Entry: self, Incarnation: 1, Zone: "z"}),
 			Seeds: func() []string { return nil }, OnNews: func([]discovery.Record) {},
 		})
 	}
@@ -67,7 +67,7 @@
 	asking := joiner("asks", "10.2.0.1:7720")
 	count := 0
 	cpu := cpuPerCall(minTime, func(int) {
-		asking.Meet(address)
+		asking.Exchange(address)
 		count++
 	})
 	if !asking.Joined() {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -30,7 +30,7 @@
 	Carries int `cbor:"4,keyasint,omitempty"`
 	// Heard is set if the sender of the record currently hears this incarnation. Ended is set if
 	// the sender considers it ended, as of Revision. These three describe the sender's view and
-	// aren't stored in a Book.
+	// aren't stored in a Directory.
 	Heard    bool   `cbor:"5,keyasint,omitempty"`
 	Ended    bool   `cbor:"6,keyasint,omitempty"`
 	Revision uint32 `cbor:"7,keyasint,omitempty"`
@@ -43,9 +43,9 @@
 // then.
 const tombstoneTTL = 2 * time.Minute
 
-// Book is the registry of the entries that this one knows. It is safe for concurrent use and
+// Directory is the registry of the entries that this one knows. It is safe for concurrent use and
 // reads no clock.
-type Book struct {
+type Directory struct {
 	mu         sync.Mutex
 	self       Record
 	records    map[job.EntryID]Record
@@ -58,14 +58,14 @@
 	expires     time.Time
 }
 
-// NewBook returns a book that contains only this entry's own record.
-func NewBook(self Record) *Book {
-	return &Book{self: self, records: map[job.EntryID]Record{}, tombstones: map[job.EntryID]tombstone{}}
+// NewDirectory returns a directory that contains only this entry's own record.
+func NewDirectory(self Record) *Directory {
+	return &Directory{self: self, records: map[job.EntryID]Record{}, tombstones: map[job.EntryID]tombstone{}}
 }
 
 // Learn adds records and returns those that are new: of an unknown entry, or of a later
 // incarnation of a known one. Records of ended incarnations are ignored.
-func (b *Book) Learn(now time.Time, records ...Record) []Record {
+func (b *Directory) Learn(now time.Time, records ...Record) []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var learned []Record
@@ -88,7 +88,7 @@
 }
 
 // Forget deletes an entry that has left the fleet permanently.
-func (b *Book) Forget(now time.Time, id job.EntryID) {
+func (b *Directory) Forget(now time.Time, id job.EntryID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, ok := b.records[id]
@@ -105,7 +105,7 @@
 }
 
 // Get returns the record of an entry, which may be this one.
-func (b *Book) Get(id job.EntryID) (Record, bool) {
+func (b *Directory) Get(id job.EntryID) (Record, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if id == b.self.Owner.Entry {
@@ -116,7 +116,7 @@
 }
 
 // All returns all records, including this entry's, sorted by name.
-func (b *Book) All() []Record {
+func (b *Directory) All() []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := []Record{b.self}
@@ -128,7 +128,7 @@
 }
 
 // ByAddress returns the record of the entry that accepts links at an address.
-func (b *Book) ByAddress(address string) (Record, bool) {
+func (b *Directory) ByAddress(address string) (Record, bool) {
 	for _, r := range b.All() {
 		if r.Address == address {
 			return r, true
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -25,9 +25,9 @@
 // A VM is replaced at another address, and records of its earlier incarnation arrive after
 // those of the later one. The later incarnation must remain, and records of others must not
 // bring back an entry that was forgotten.
-func TestBookKeepsTheLatestIncarnation(t *testing.T) {
+func TestDirectoryKeepsTheLatestIncarnation(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := NewBook(record("a", 1, "10.0.0.1:1"))
+	b := NewDirectory(record("a", 1, "10.0.0.1:1"))
 	qt.Assert(t, b.Learn(now, record("b", 5, "10.0.0.2:1"), record("a", 9, "10.0.0.9:1")), qt.HasLen, 1)
 	qt.Assert(t, b.Learn(now, record("b", 5, "10.0.0.2:1")), qt.HasLen, 0)
 	qt.Assert(t, b.Learn(now, record("b", 6, "10.0.0.3:1")), qt.HasLen, 1)
@@ -86,7 +86,7 @@
 	e := &entry{server: httptest.NewUnstartedServer(nil)}
 	self := record(name, 1, e.server.Listener.Addr().String())
 	e.Joiner = New(Options{
-		Book: NewBook(self), Mesh: mesh.Join(self.Owner), Seeds: seeds, Secret: []byte(secret), OnNews: func([]Record) {},
+		Book: NewDirectory(self), Mesh: mesh.Join(self.Owner), Seeds: seeds, Secret: []byte(secret), OnNews: func([]Record) {},
 	})
 	mux := http.NewServeMux()
 	mux.Handle("POST "+peer.JoinPath, e.Joiner)
@@ -183,8 +183,8 @@
 	a.Learn(record("b", 77, "10.0.0.2:1"))
 	address := a.server.Listener.Addr().String()
 	begun := time.Now()
-	qt.Assert(t, LastLife(t.Context(), []string{"127.0.0.1:1", address}, []byte("s"), "b"), qt.Equals, job.Incarnation(77))
-	qt.Assert(t, LastLife(t.Context(), []string{address}, []byte("s"), "c"), qt.Equals, job.Incarnation(0))
+	qt.Assert(t, LastIncarnation(t.Context(), []string{"127.0.0.1:1", address}, []byte("s"), "b"), qt.Equals, job.Incarnation(77))
+	qt.Assert(t, LastIncarnation(t.Context(), []string{address}, []byte("s"), "c"), qt.Equals, job.Incarnation(0))
 	qt.Assert(t, time.Since(begun) < 2*lastIncarnationTimeout, qt.IsTrue)
 }
 
@@ -202,7 +202,7 @@
 			name := job.EntryID(fmt.Sprintf("e-%03d", i))
 			self := record(name, 1, fmt.Sprintf("10.0.0.%d:1", i))
 			j := New(Options{
-				Book: NewBook(self), Mesh: mesh.Join(self.Owner), OnNews: func([]Record) {},
+				Book: NewDirectory(self), Mesh: mesh.Join(self.Owner), OnNews: func([]Record) {},
 				Seeds: func() []string { return nil },
 			})
 			joiners = append(joiners, j)
--- a/internal/discovery/join.go
+++ b/internal/discovery/join.go
@@ -52,7 +52,7 @@
 
 // Options configures a Joiner.
 type Options struct {
-	Book *Book
+	Book *Directory
 	Mesh peer.Mesh
 	// Seeds returns the addresses of the seeds; they may change.
 	Seeds func() []string
@@ -212,8 +212,8 @@
 	}
 }
 
-// Meet exchanges records with an entry that opened a link without being known before.
-func (j *Joiner) Meet(address string) { j.join(context.Background(), address) }
+// Exchange exchanges records with an entry that opened a link without being known before.
+func (j *Joiner) Exchange(address string) { j.join(context.Background(), address) }
 
 // recordsToSend returns all known records, marked with whether this entry hears each
 // incarnation. Only that mark lets an entry be added again that was forgotten during a long
@@ -290,11 +290,11 @@
 // start while the seeds are down.
 const lastIncarnationTimeout = 300 * time.Millisecond
 
-// LastLife returns the latest incarnation of an entry that any seed knows, or zero for none.
+// LastIncarnation returns the latest incarnation of an entry that any seed knows, or zero for none.
 // The time of day may jump back between two incarnations. If incarnations were numbered by
 // the time of day alone, all entries would then take the later one for the earlier one and
 // ignore it.
-func LastLife(ctx context.Context, seeds []string, secret []byte, entry job.EntryID) job.Incarnation {
+func LastIncarnation(ctx context.Context, seeds []string, secret []byte, entry job.EntryID) job.Incarnation {
 	ctx, cancel := context.WithTimeout(ctx, lastIncarnationTimeout)
 	defer cancel()
 	client := newJoinClient(secret)
--- a/internal/entry/discover.go
+++ b/internal/entry/discover.go
@@ -37,18 +37,18 @@
 // configureDiscovery sets the link options of an entry that discovers the others by itself.
 func (e *Entry) configureDiscovery(links *peer.Options) {
 	s := &e.opts.Settings
-	e.discovered = discovery.NewBook(discovery.Record{Owner: e.self, Address: s.PeerAddr, Disk: s.DataDir != "", Carries: assign.TargetCapacity(s.Processors, s.LinkMbps)})
+	e.discovered = discovery.NewDirectory(discovery.Record{Owner: e.self, Address: s.PeerAddr, Disk: s.DataDir != "", Carries: assign.TargetCapacity(s.Processors, s.LinkMbps)})
 	links.Dynamic, links.Address, links.Silence = true, s.PeerAddr, linkSilenceTimeout
 	links.Join = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { e.joiner.ServeHTTP(w, r) })
 	links.Expects = func(of job.EntryID) (time.Time, time.Duration) { return e.members.Expects(of) }
 	links.OnLink = func(to job.EntryID, up bool) {
 		if up {
-			e.members.Greet(to)
+			e.members.SendHeartbeat(to)
 		}
 	}
 	links.OnMeet = func(p peer.Peer, _ job.Incarnation) {
 		// The exchange carries what the handshake doesn't, such as whether the entry has a disk.
-		go e.joiner.Meet(p.Address)
+		go e.joiner.Exchange(p.Address)
 	}
 }
 
@@ -61,7 +61,7 @@
 	e.joiner = discovery.New(discovery.Options{
 		Book: e.discovered, Mesh: e.links, Seeds: seeds, Secret: e.opts.Settings.PeerSecret, Tell: e.fillLiveness,
 		OnNews: e.addDiscovered, OnEnded: e.addEnded, Log: e.log,
-		Near:   func() []job.EntryID { return e.members.Near() },
+		Near:   func() []job.EntryID { return e.members.Neighbours() },
 		Digest: func() uint64 { return e.members.Digest() },
 	})
 }
@@ -97,14 +97,14 @@
 			updates[i].State = membership.Left
 		}
 	}
-	e.members.TakeUpdates(updates)
+	e.members.ApplyUpdates(updates)
 }
 
 // exchangeRecords exchanges records with an entry that knows a different set of entries.
 func (e *Entry) exchangeRecords(id job.EntryID) {
 	r, ok := e.discovered.Get(id)
 	if ok && e.joiner != nil {
-		go e.joiner.Meet(r.Address)
+		go e.joiner.Exchange(r.Address)
 	}
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -117,7 +117,7 @@
 	members          *membership.Membership
 	lastIncarnations lastIncarnations
 	// discovered and joiner discover the other entries; nil where the settings name them.
-	discovered *discovery.Book
+	discovered *discovery.Directory
 	joiner     *discovery.Joiner
 
 	record         *pipeline.Record
@@ -231,7 +231,7 @@
 	e.assemblePath()
 	e.configure(nil, e.config.Current())
 	e.register.OnChange(e.configure)
-	e.register.OnChange(func(_, _ *config.File) { go e.members.Spread() })
+	e.register.OnChange(func(_, _ *config.File) { go e.members.AnnounceConfig() })
 	e.members.OnChange(e.setView)
 	return nil
 }
@@ -268,7 +268,7 @@
 	e.handoverServer.ReportLoads(e.holder.Load)
 	e.remote = handover.NewRemote(handover.RemoteOptions{
 		Mesh: e.links, Gone: e.members.Gone, SinceLastMessage: e.members.Silent,
-		Proof: e.proofFor, Learn: e.members.Learn, Events: e.events,
+		Proof: e.proofFor, Learn: e.members.RecordReading, Events: e.events,
 		OnLoad: func(from job.EntryID, l job.HolderLoad) { e.holders.recordAnswerLoad(from, l) },
 	})
 	e.holders = newHolders(e.self, e.holder, e.remote, e.members)
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -38,21 +38,21 @@
 		exchange = e.exchangeRecords
 	}
 	e.members = membership.New(membership.Options{
-		Now:     e.awake.Now,
-		Proved:  recordProof,
-		Speaks:  mayProve,
-		Mesh:    e.links,
-		Peers:   peers,
-		Across:  across,
-		Log:     e.log,
-		Events:  e.events,
-		Config:  e.register,
-		Loads:   e.holder.Loads,
-		Refused: e.links.Refused,
-		Busy:    e.sharesWorkWith,
-		Stand:   e.links.Stand,
-		Loaded:  e.recordLoads,
-		Compare: exchange,
+		Now:       e.awake.Now,
+		Proved:    recordProof,
+		MayProve:  mayProve,
+		Mesh:      e.links,
+		Peers:     peers,
+		Across:    across,
+		Log:       e.log,
+		Events:    e.events,
+		Config:    e.register,
+		Loads:     e.holder.Loads,
+		Refused:   e.links.Refused,
+		Busy:      e.sharesWorkWith,
+		KeepLinks: e.links.Stand,
+		Loaded:    e.recordLoads,
+		Compare:   exchange,
 	})
 }
 
--- a/internal/entry/pause_test.go
+++ b/internal/entry/pause_test.go
@@ -68,7 +68,7 @@
 	other := p.net.Join(job.Owner{Entry: "o", Incarnation: 1, Zone: "y"})
 	p.entry = p.assemble(mesh)
 	otherMembers := membership.New(membership.Options{Mesh: other, Peers: []membership.Peer{{Entry: "h", Zone: "z"}}, Across: crossZoneTimings})
-	p.owner = handover.NewRemote(handover.RemoteOptions{Mesh: other, SinceLastMessage: otherMembers.Silent, Proof: otherMembers.Last, Learn: otherMembers.Learn})
+	p.owner = handover.NewRemote(handover.RemoteOptions{Mesh: other, SinceLastMessage: otherMembers.Silent, Proof: otherMembers.LastReading, Learn: otherMembers.RecordReading})
 	go func() { _ = otherMembers.Run(p.ctx) }()
 	p.resume()
 	p.entry.holder.SetTarget(job.Target{ID: "t", Pool: "p", Zone: "z", Slots: 1, Connections: 1})
--- a/internal/entry/recall.go
+++ b/internal/entry/recall.go
@@ -33,7 +33,7 @@
 		"targets", taken, "remembered", len(held.Targets), "life", held.Life, "word", held.Number,
 		"answers", answers, "after_ms", time.Since(begun).Milliseconds())
 	if taken > 0 {
-		v.members.Beat()
+		v.members.SendHeartbeats()
 	}
 }
 
--- a/internal/entry/rights.go
+++ b/internal/entry/rights.go
@@ -147,7 +147,7 @@
 	if e.rights != nil && !e.mayProve(to) {
 		return 0
 	}
-	return e.members.Last(to, incarnation)
+	return e.members.LastReading(to, incarnation)
 }
 
 // watchOwners renews this entry's right to act for itself, records its pauses, and stops
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -230,8 +230,8 @@
 	return p.everHeard && p.State != Left && now.Sub(p.lastHeard) <= p.timingsOf().VouchWithin
 }
 
-// Hearing is the result of a received heartbeat.
-type Hearing struct {
+// HeartbeatResult is the result of a received heartbeat.
+type HeartbeatResult struct {
 	Changes []Change
 	// News is set if other entries may not know the sender's state yet.
 	News bool
@@ -239,22 +239,22 @@
 	Wronged bool
 }
 
-// Hear applies a heartbeat. A heartbeat of an incarnation earlier than the known one comes
+// ApplyHeartbeat applies a heartbeat. A heartbeat of an incarnation earlier than the known one comes
 // from a process that has ended and is ignored.
-func (d *Detector) Hear(now time.Time, from job.Owner, state State, revision uint32) Hearing {
+func (d *Detector) ApplyHeartbeat(now time.Time, from job.Owner, state State, revision uint32) HeartbeatResult {
 	p := d.peer(from.Entry)
 	if p == nil || from.Incarnation < p.Incarnation {
-		return Hearing{}
+		return HeartbeatResult{}
 	}
 	same := from.Incarnation == p.Incarnation
 	if p.State == Left && same {
-		return Hearing{}
+		return HeartbeatResult{}
 	}
 	p.lastHeard, p.everHeard, d.everHeardAny = now, true, true
 	if same && revision < p.revision && p.State != Dead {
-		return Hearing{} // overtaken by a later revision
+		return HeartbeatResult{} // overtaken by a later revision
 	}
-	h := Hearing{Wronged: same && p.State == Dead && revision <= p.revision}
+	h := HeartbeatResult{Wronged: same && p.State == Dead && revision <= p.revision}
 	h.News = !h.Wronged && (!same || revision > p.revision)
 	if !same || revision > p.revision {
 		p.revision = revision
@@ -267,10 +267,10 @@
 // Touch treats a message other than a heartbeat as a sign of life. It keeps the state that
 // the incarnation has announced, and marks the incarnation alive if it has announced none or
 // is suspected or considered dead.
-func (d *Detector) Touch(now time.Time, from job.Owner) Hearing {
+func (d *Detector) Touch(now time.Time, from job.Owner) HeartbeatResult {
 	p := d.peer(from.Entry)
 	if p == nil || from.Incarnation < p.Incarnation {
-		return Hearing{}
+		return HeartbeatResult{}
 	}
 	state, revision := p.State, p.revision
 	if from.Incarnation > p.Incarnation {
@@ -279,7 +279,7 @@
 	if !p.everHeard || from.Incarnation > p.Incarnation || p.State == Suspect || p.State == Dead {
 		state = Alive
 	}
-	return d.Hear(now, from, state, revision)
+	return d.ApplyHeartbeat(now, from, state, revision)
 }
 
 // Vouch applies the answer of another entry that it hears an incarnation.
@@ -327,17 +327,17 @@
 	slices.SortFunc(d.watched, func(a, b *peerState) int { return cmp.Compare(a.Entry, b.Entry) })
 }
 
-// StoodStill records that this entry was paused. Missing messages of others don't count for
+// DiscountPause records that this entry was paused. Missing messages of others don't count for
 // the duration of the pause.
-func (d *Detector) StoodStill(now time.Time, gap time.Duration) {
+func (d *Detector) DiscountPause(now time.Time, gap time.Duration) {
 	for _, p := range d.watched {
 		last := now.Add(-p.silentFor(now))
 		p.silenceStart = last.Add(min(gap, now.Sub(last)))
 	}
 }
 
-// Doubtful lists the members whose state other entries are to be asked about now.
-func (d *Detector) Doubtful(now time.Time, refused func(job.EntryID) bool) []Member {
+// QuerySubjects lists the members whose state other entries are to be asked about now.
+func (d *Detector) QuerySubjects(now time.Time, refused func(job.EntryID) bool) []Member {
 	var out []Member
 	for _, p := range d.watched {
 		if p.State == Left || p.State == Dead {
@@ -351,8 +351,8 @@
 	return out
 }
 
-// Asked records that other entries were asked whether they hear an entry.
-func (d *Detector) Asked(now time.Time, id job.EntryID) {
+// RecordQuery records that other entries were asked whether they hear an entry.
+func (d *Detector) RecordQuery(now time.Time, id job.EntryID) {
 	if p := d.peer(id); p != nil {
 		p.lastQuery = now
 	}
@@ -394,8 +394,8 @@
 	}
 }
 
-// Hears reports whether this entry hears an incarnation well enough to vouch for it.
-func (d *Detector) Hears(now time.Time, owner job.Owner) bool {
+// CanVouch reports whether this entry hears an incarnation well enough to vouch for it.
+func (d *Detector) CanVouch(now time.Time, owner job.Owner) bool {
 	p := d.peer(owner.Entry)
 	return p != nil && p.Incarnation == owner.Incarnation && p.canVouch(now)
 }
@@ -440,10 +440,10 @@
 	return heardAny && unreachable && d.hasZoneMate()
 }
 
-// Settle records when this entry became isolated. Once it hears others again, it reverts the
+// UpdateIsolation records when this entry became isolated. Once it hears others again, it reverts the
 // deaths that it declared meanwhile to suspect, because it was this entry that was
 // partitioned. Entries that aren't watched revert to alive.
-func (d *Detector) Settle(now time.Time, refused func(job.EntryID) bool) []Change {
+func (d *Detector) UpdateIsolation(now time.Time, refused func(job.EntryID) bool) []Change {
 	isolated := d.isolated(refused)
 	switch {
 	case isolated && d.isolatedSince.IsZero():
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -61,8 +61,8 @@
 	Loads func() []job.HolderLoad
 	// Refused reports whether an entry's machine refuses connections. May be nil.
 	Refused func(job.EntryID) bool
-	// Stand receives the entries to which links are to be kept up; nil means all. May be nil.
-	Stand func([]job.EntryID)
+	// KeepLinks receives the entries to which links are to be kept up; nil means all. May be nil.
+	KeepLinks func([]job.EntryID)
 	// Loaded receives the loads of other holders as they arrive. May be nil.
 	Loaded func([]Load)
 	// Compare is called with an entry whose list of the fleet differs from this one's, to compare
@@ -78,9 +78,9 @@
 	// Proved is called with a time at which another entry was certainly alive: it has echoed a
 	// reading that this entry's clock made then. May be nil.
 	Proved func(owner job.Owner, at time.Time)
-	// Speaks reports whether this entry may prove to another one that it continues to act for
+	// MayProve reports whether this entry may prove to another one that it continues to act for
 	// its callers; nil means always.
-	Speaks func(to job.EntryID) bool
+	MayProve func(to job.EntryID) bool
 }
 
 // Load is one holder's load and the age of the report.
@@ -115,7 +115,7 @@
 	zoneMates     []*peerState
 	chosenVersion uint64
 	requests      map[job.EntryID]heartbeatRequest
-	// keptLinks is the list last passed to Options.Stand.
+	// keptLinks is the list last passed to Options.KeepLinks.
 	keptLinks []job.EntryID
 	// configNumbers is the number of the configuration that each entry last reported.
 	configNumbers map[job.EntryID]uint64
@@ -270,7 +270,7 @@
 func (m *Membership) Touch(from job.Owner) {
 	m.mu.Lock()
 	result := m.detector.Touch(time.Now(), from)
-	refutable := m.applyHearing(from, result)
+	refutable := m.applyHeartbeatResult(from, result)
 	m.publish()
 	m.mu.Unlock()
 	m.reportChanges(result.Changes)
@@ -279,9 +279,9 @@
 	}
 }
 
-// applyHearing queues the update that a sign of life brought. It returns the update that the
+// applyHeartbeatResult queues the update that a sign of life brought. It returns the update that the
 // sender has to refute, or nil if there is none. The caller holds the lock.
-func (m *Membership) applyHearing(from job.Owner, result Hearing) *Update {
+func (m *Membership) applyHeartbeatResult(from job.Owner, result HeartbeatResult) *Update {
 	if m.watchSet.All {
 		return nil
 	}
@@ -340,12 +340,12 @@
 	m.refreshWatched(now)
 	m.mu.Lock()
 	if gap := now.Sub(m.lastTick); !m.lastTick.IsZero() && gap > pauseThreshold {
-		m.detector.StoodStill(now, gap)
+		m.detector.DiscountPause(now, gap)
 	}
 	m.lastTick = now
 	changes := m.detector.Tick(now, m.opts.Refused)
 	m.queueDeaths(changes)
-	changes = append(changes, m.detector.Settle(now, m.opts.Refused)...)
+	changes = append(changes, m.detector.UpdateIsolation(now, m.opts.Refused)...)
 	queries := m.dueQueries(now)
 	m.publish()
 	m.mu.Unlock()
@@ -364,8 +364,8 @@
 	m.keptLinks = links
 	m.publish()
 	m.mu.Unlock()
-	if changed && m.opts.Stand != nil {
-		m.opts.Stand(links)
+	if changed && m.opts.KeepLinks != nil {
+		m.opts.KeepLinks(links)
 	}
 }
 
@@ -400,9 +400,9 @@
 // Leave announces to all entries that this one has ended its work.
 func (m *Membership) Leave(context.Context) { m.declareState(Left) }
 
-// Spread announces a configuration that has just taken effect here to those neighbours in a
+// AnnounceConfig announces a configuration that has just taken effect here to those neighbours in a
 // large fleet that aren't known to have it. In a small fleet the voters notify all entries.
-func (m *Membership) Spread() {
+func (m *Membership) AnnounceConfig() {
 	b := m.composeHeartbeat()
 	m.mu.Lock()
 	var list []dueHeartbeat
@@ -417,8 +417,8 @@
 	m.send(b, list)
 }
 
-// Beat sends a heartbeat to all entries at once, for changes that callers wait for.
-func (m *Membership) Beat() { m.sendDue(time.Now(), true) }
+// SendHeartbeats sends a heartbeat to all entries at once, for changes that callers wait for.
+func (m *Membership) SendHeartbeats() { m.sendDue(time.Now(), true) }
 
 func (m *Membership) declareState(s State) {
 	now := time.Now()
@@ -489,8 +489,8 @@
 		b.Loads[i].Entry, b.Loads[i].Zone = from.Entry, from.Zone
 	}
 	m.mu.Lock()
-	result := m.detector.Hear(now, from, b.State, b.Revision)
-	refutable := m.applyHearing(from, result)
+	result := m.detector.ApplyHeartbeat(now, from, b.State, b.Revision)
+	refutable := m.applyHeartbeatResult(from, result)
 	m.loads[from.Entry] = loadReport{now, b.Loads}
 	received := m.recordLoads(now, b.Loads, b.Relayed)
 	m.configNumbers[from.Entry] = b.ConfigNumber
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -204,33 +204,33 @@
 	d := NewDetector(now, job.Owner{Entry: "a", Incarnation: 1, Zone: "z"}, []Peer{{Entry: "b", Zone: "z"}, {Entry: "c", Zone: "z"}})
 	owner := func(n job.Incarnation) job.Owner { return job.Owner{Entry: "b", Incarnation: n, Zone: "z"} }
 	other := job.Owner{Entry: "c", Zone: "z", Incarnation: 1}
-	d.Hear(now, owner(5), Alive, 0)
-	qt.Assert(t, d.Hear(now, owner(4), Alive, 0).Changes, qt.HasLen, 0)
+	d.ApplyHeartbeat(now, owner(5), Alive, 0)
+	qt.Assert(t, d.ApplyHeartbeat(now, owner(4), Alive, 0).Changes, qt.HasLen, 0)
 	qt.Assert(t, d.Vouch(now, "c", owner(4)), qt.HasLen, 0)
-	qt.Assert(t, d.Hear(now, other, Alive, 0).Changes, qt.HasLen, 1)
+	qt.Assert(t, d.ApplyHeartbeat(now, other, Alive, 0).Changes, qt.HasLen, 1)
 	for range 40 { // three of four heartbeats are lost
 		now = now.Add(InZone.SuspectAfter)
-		qt.Assert(t, d.Hear(now, owner(5), Alive, 0).Changes, qt.HasLen, 0)
-		d.Hear(now, other, Alive, 0)
+		qt.Assert(t, d.ApplyHeartbeat(now, owner(5), Alive, 0).Changes, qt.HasLen, 0)
+		d.ApplyHeartbeat(now, other, Alive, 0)
 		qt.Assert(t, d.Tick(now, nobody), qt.HasLen, 0)
 	}
 	now = now.Add(refusedAfter + 1)
 	refusedB := func(id job.EntryID) bool { return id == "b" }
 	// A proxy on the path may refuse connections while the entry runs: entries that hear it
 	// decide.
-	qt.Assert(t, d.Doubtful(now, refusedB), qt.HasLen, 1)
+	qt.Assert(t, d.QuerySubjects(now, refusedB), qt.HasLen, 1)
 	qt.Assert(t, d.Tick(now, refusedB), qt.HasLen, 0)
 	d.Vouch(now, "c", owner(5))
-	d.Asked(now, "b")
+	d.RecordQuery(now, "b")
 	qt.Assert(t, d.Tick(now, refusedB), qt.HasLen, 0)
 	now = now.Add(vouchValidity + 1)
-	d.Hear(now, other, Alive, 0)
-	d.Asked(now, "b")
+	d.ApplyHeartbeat(now, other, Alive, 0)
+	d.RecordQuery(now, "b")
 	changes := slices.DeleteFunc(d.Tick(now, refusedB), func(c Change) bool { return c.After.State == Suspect })
 	qt.Assert(t, changes, qt.HasLen, 1)
 	qt.Assert(t, changes[0].After.State, qt.Equals, Dead)
-	d.Hear(now, owner(5), Left, 0)
-	d.Hear(now, owner(5), Alive, 0)
+	d.ApplyHeartbeat(now, owner(5), Left, 0)
+	d.ApplyHeartbeat(now, owner(5), Alive, 0)
 	m, _ := d.Members(nobody).Get("b")
 	qt.Assert(t, m.State, qt.Equals, Left)
 }
--- a/internal/membership/pace_test.go
+++ b/internal/membership/pace_test.go
@@ -91,7 +91,7 @@
 			sent[d.to]++
 		}
 		for _, e := range append(disks, "e-020") {
-			m.detector.Hear(now, job.Owner{Entry: e, Incarnation: 1}, Alive, 0)
+			m.detector.ApplyHeartbeat(now, job.Owner{Entry: e, Incarnation: 1}, Alive, 0)
 		}
 	}
 	for _, e := range disks {
@@ -116,10 +116,10 @@
 	m.Touch(owner)
 	qt.Assert(t, m.Silent(owner.Entry, owner.Incarnation) < time.Second, qt.IsTrue)
 
-	m.detector.Hear(time.Now(), owner, Draining, 1)
+	m.detector.ApplyHeartbeat(time.Now(), owner, Draining, 1)
 	m.Touch(owner)
 	qt.Assert(t, m.detector.peer(owner.Entry).State, qt.Equals, Draining)
-	m.detector.Hear(time.Now(), owner, Left, 2)
+	m.detector.ApplyHeartbeat(time.Now(), owner, Left, 2)
 	m.Touch(owner)
 	qt.Assert(t, m.detector.peer(owner.Entry).State, qt.Equals, Left)
 }
--- a/internal/membership/proof.go
+++ b/internal/membership/proof.go
@@ -37,7 +37,7 @@
 // stamp adds the clock readings for one receiver to a heartbeat.
 func (m *Membership) stamp(to job.EntryID, body cbor.RawMessage) stampedHeartbeat {
 	now := m.opts.Now()
-	mayProve := m.opts.Speaks == nil || m.opts.Speaks(to)
+	mayProve := m.opts.MayProve == nil || m.opts.MayProve(to)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	last := m.readings[to]
@@ -56,8 +56,8 @@
 	}
 }
 
-// Learn records a clock reading that arrived in a message other than a heartbeat.
-func (m *Membership) Learn(from job.EntryID, incarnation job.Incarnation, at awake.Reading) {
+// RecordReading records a clock reading that arrived in a message other than a heartbeat.
+func (m *Membership) RecordReading(from job.EntryID, incarnation job.Incarnation, at awake.Reading) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.recordReading(from, incarnation, at)
@@ -66,8 +66,8 @@
 // Reading returns a reading of this entry's clock, which other entries echo.
 func (m *Membership) Reading() awake.Reading { return m.ruler.Reading(m.opts.Now()) }
 
-// Last returns the last clock reading received from an incarnation, or zero if there is none.
-func (m *Membership) Last(of job.EntryID, incarnation job.Incarnation) awake.Reading {
+// LastReading returns the last clock reading received from an incarnation, or zero if there is none.
+func (m *Membership) LastReading(of job.EntryID, incarnation job.Incarnation) awake.Reading {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if last := m.readings[of]; last.incarnation == incarnation {
@@ -85,10 +85,10 @@
 	return m.ruler.Time(at), true
 }
 
-// Greet sends a heartbeat to an entry whose link has just come up. The right of either entry
+// SendHeartbeat sends a heartbeat to an entry whose link has just come up. The right of either entry
 // to act for the other depends on proofs that age while the link is down, and the next
 // regular heartbeat may be a whole period away.
-func (m *Membership) Greet(to job.EntryID) {
+func (m *Membership) SendHeartbeat(to job.EntryID) {
 	b := m.composeHeartbeat()
 	b.Relayed = nil
 	body, err := cbor.Marshal(b)
@@ -96,6 +96,6 @@
 		m.opts.Log.Error("heartbeat not encoded", "error", err)
 		return
 	}
-	// The link may be down again; Greet is then called for the next one.
+	// The link may be down again; SendHeartbeat is then called for the next one.
 	_ = m.opts.Mesh.Send(to, peer.Heartbeat, m.stamp(to, body))
 }
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -53,8 +53,8 @@
 	return u.State.precedence() > p.State.precedence()
 }
 
-// Taking is the result of applying an update.
-type Taking struct {
+// UpdateResult is the result of applying an update.
+type UpdateResult struct {
 	Changes []Change
 	// News is set if the update is to be forwarded.
 	News bool
@@ -65,18 +65,18 @@
 	Refute bool
 }
 
-// Take applies another entry's update.
-func (d *Detector) Take(now time.Time, u Update) Taking {
+// Apply applies another entry's update.
+func (d *Detector) Apply(now time.Time, u Update) UpdateResult {
 	if u.Entry == d.self.Entry {
-		return Taking{Refute: d.refute(u)}
+		return UpdateResult{Refute: d.refute(u)}
 	}
 	p := d.peer(u.Entry)
 	if p == nil || !u.supersedes(p) {
-		return Taking{}
+		return UpdateResult{}
 	}
 	same := u.Incarnation == p.Incarnation
 	if u.State == Dead && same && p.canVouch(now) {
-		return Taking{Doubted: true}
+		return UpdateResult{Doubted: true}
 	}
 	if !same {
 		p.everHeard, p.declaredDead = false, false
@@ -86,7 +86,7 @@
 		p.lastVouch = now.Add(refutedGrace - vouchValidity)
 	}
 	p.revision = u.Revision
-	return Taking{News: true, Changes: d.setState(p, now, u.State, u.Incarnation, "reported by another entry", nil)}
+	return UpdateResult{News: true, Changes: d.setState(p, now, u.State, u.Incarnation, "reported by another entry", nil)}
 }
 
 // refute raises this entry's revision above that of a report of its death.
@@ -165,8 +165,8 @@
 	}
 }
 
-// Near lists the entries to which updates are forwarded; in a small fleet all entries.
-func (m *Membership) Near() []job.EntryID {
+// Neighbours lists the entries to which updates are forwarded; in a small fleet all entries.
+func (m *Membership) Neighbours() []job.EntryID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.neighbours()
@@ -196,19 +196,19 @@
 	if err := cbor.Unmarshal(body, &updates); err != nil {
 		return nil, errors.Annotate(err, "decoding updates of members")
 	}
-	m.TakeUpdates(updates)
+	m.ApplyUpdates(updates)
 	return nil, nil
 }
 
-// TakeUpdates applies updates of other entries, whichever message carried them.
-func (m *Membership) TakeUpdates(updates []Update) {
+// ApplyUpdates applies updates of other entries, whichever message carried them.
+func (m *Membership) ApplyUpdates(updates []Update) {
 	now := time.Now()
 	var changes []Change
 	var doubted []Update
 	refute := false
 	m.mu.Lock()
 	for _, u := range updates {
-		result := m.detector.Take(now, u)
+		result := m.detector.Apply(now, u)
 		changes = append(changes, result.Changes...)
 		if result.News {
 			m.queueUpdates(u.Entry)
--- a/internal/membership/witness.go
+++ b/internal/membership/witness.go
@@ -29,16 +29,16 @@
 // dueQueries lists the queries that are due. The caller holds the lock.
 func (m *Membership) dueQueries(now time.Time) []witnessQuery {
 	var out []witnessQuery
-	for _, doubtful := range m.detector.Doubtful(now, m.opts.Refused) {
-		ask := m.witnesses(doubtful)
+	for _, subject := range m.detector.QuerySubjects(now, m.opts.Refused) {
+		ask := m.witnesses(subject)
 		if len(ask) == 0 {
-			m.detector.Asked(now, doubtful.Entry)
+			m.detector.RecordQuery(now, subject.Entry)
 			continue
 		}
 		m.queryCount++
 		at := m.queryCount * witnessesPerQuery % len(ask)
 		ask = append(ask[at:], ask[:at]...)
-		out = append(out, witnessQuery{doubtful.Owner(), ask[:min(len(ask), witnessesPerQuery)]})
+		out = append(out, witnessQuery{subject.Owner(), ask[:min(len(ask), witnessesPerQuery)]})
 	}
 	return out
 }
@@ -92,7 +92,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.detector.Asked(time.Now(), q.subject.Entry)
+	m.detector.RecordQuery(time.Now(), q.subject.Entry)
 }
 
 func (m *Membership) recordVouch(by job.EntryID, owner job.Owner) {
@@ -110,5 +110,5 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.detector.Hears(time.Now(), owner), nil
+	return m.detector.CanVouch(time.Now(), owner), nil
 }
