--- a/cmd/vanillagrade/entry.go
+++ b/cmd/vanillagrade/entry.go
@@ -75,9 +75,9 @@
 		if err != nil {
 			return fail(stderr, exitUsage, errors.Annotate(err, "--metrics-addr"))
 		}
-		options.Attach = func(e *entry.Entry) []entry.Attached {
+		options.Attach = func(e *entry.Entry) []entry.AttachedServer {
 			metricsServer := &http.Server{Handler: e.Metrics(lines.Dropped), ReadHeaderTimeout: metricsHeaderTimeout}
-			return []entry.Attached{{Listener: l, Server: metricsServer}}
+			return []entry.AttachedServer{{Listener: l, Server: metricsServer}}
 		}
 	}
 	e, err := entry.New(options)
--- a/internal/entry/announced_test.go
+++ b/internal/entry/announced_test.go
@@ -89,7 +89,7 @@
 			qt.Check(t, err, qt.IsNotNil)
 			qt.Check(t, errors.Is(err, errors.NotValid) || errors.Is(err, errors.AlreadyExists), qt.IsTrue, qt.Commentf("%v", err))
 			qt.Check(t, ts.malformed.Total(malformed.Announcement), qt.Equals, uint64(1))
-			if err := ts.Leaving(t.Context(), &wrong); err == nil {
+			if err := ts.AnnounceStop(t.Context(), &wrong); err == nil {
 				// A target that is not held here may stop: there is nothing to remove.
 				qt.Check(t, wrong.ID == "t1", qt.IsFalse)
 			}
@@ -134,7 +134,7 @@
 	_, _, err = ts.announce(t.Context(), testTarget("t3", "p", "10.0.0.3:80"))
 	qt.Assert(t, err, qt.ErrorMatches, `.*service "p": not in configuration 8: target not valid.*`)
 	leaving := testTarget("t1", "p", "10.0.0.1:80")
-	qt.Assert(t, ts.Leaving(t.Context(), &leaving), qt.IsNil)
+	qt.Assert(t, ts.AnnounceStop(t.Context(), &leaving), qt.IsNil)
 	qt.Assert(t, ts.registry.Holds("t1"), qt.IsFalse)
 	// Before the first configuration the set of pools is unknown.
 	ts.config = config.Fixed{}
@@ -207,7 +207,7 @@
 func (a fakeTargetClient) Close() {}
 
 // A target counts as listening only if it answers without ambiguity.
-func TestAskingWhoListens(t *testing.T) {
+func TestListenCheckNeedsAClearAnswer(t *testing.T) {
 	for _, c := range []struct {
 		answer fakeTargetClient
 		want   bool
--- a/internal/entry/attach.go
+++ b/internal/entry/attach.go
@@ -22,8 +22,8 @@
 	return &api.Caller{Dispatcher: e, Config: e.config, Memory: e.memory}
 }
 
-// Refused records a refusal by another server of this entry.
-func (e *Entry) Refused(a job.Answer) { e.record.Refused(a) }
+// RecordRefusal records a refusal by another server of this entry.
+func (e *Entry) RecordRefusal(a job.Answer) { e.record.Refused(a) }
 
 // Config returns the view of the configuration in effect.
 func (e *Entry) Config() config.View { return e.config }
@@ -49,10 +49,10 @@
 	return host, errors.Trace(err)
 }
 
-// Leaving announces that a target accepts no more work. It returns nil only if each entry
+// AnnounceStop announces that a target accepts no more work. It returns nil only if each entry
 // that may hold the target has been notified.
-func (e *Entry) Leaving(ctx context.Context, t job.Target) error {
-	return e.targets.Leaving(ctx, &t)
+func (e *Entry) AnnounceStop(ctx context.Context, t job.Target) error {
+	return e.targets.AnnounceStop(ctx, &t)
 }
 
 // Withdraw announces that a target has ended.
@@ -85,9 +85,9 @@
 	m.Gauge(`vanillagrade_target_calls{kind="stop"}`, func() float64 { return float64(e.calls.Stops.Load()) })
 	m.Gauge("vanillagrade_slots_known", func() float64 { return float64(e.totalSlots()) })
 	m.Gauge("vanillagrade_agreement_rounds", func() float64 { return float64(e.register.Round()) })
-	m.Gauge("vanillagrade_voters_heard", func() float64 { return float64(e.register.VoterFigures().Heard) })
-	m.Gauge("vanillagrade_voter_losses_left", func() float64 { return float64(e.register.VoterFigures().LossesLeft) })
-	m.Gauge("vanillagrade_spare_disks", func() float64 { return float64(e.register.VoterFigures().Spares) })
+	m.Gauge("vanillagrade_voters_heard", func() float64 { return float64(e.register.VoterMetrics().Reachable) })
+	m.Gauge("vanillagrade_voter_losses_left", func() float64 { return float64(e.register.VoterMetrics().LossesLeft) })
+	m.Gauge("vanillagrade_spare_disks", func() float64 { return float64(e.register.VoterMetrics().Spares) })
 	for _, kind := range peer.Kinds() {
 		for name, read := range messageCounters {
 			m.Gauge(fmt.Sprintf("%s{kind=%q}", name, kind), func() float64 { return float64(read(e.messageStats(kind))) })
--- a/internal/entry/discover.go
+++ b/internal/entry/discover.go
@@ -144,12 +144,12 @@
 // configureVoterDiscovery lets the founders form the register, and the register replace
 // lost voters with discovered entries that have a disk.
 func (e *Entry) configureVoterDiscovery(o *register.Options) {
-	o.Others = e.discoveredNames
-	o.Sparse = func() bool { return e.members.Sparse() }
+	o.Discovered = e.discoveredNames
+	o.SparseHeartbeats = func() bool { return e.members.Sparse() }
 	if len(e.opts.Settings.Founders) > 0 {
-		o.Found = e.founders
+		o.InitialVoters = e.founders
 	}
-	o.Mend = &register.Mend{Want: e.opts.Settings.WantVoters, Within: e.opts.Settings.RepairWithin, Disks: e.diskEntries}
+	o.Repair = &register.RepairOptions{Want: e.opts.Settings.WantVoters, Within: e.opts.Settings.RepairWithin, Disks: e.diskEntries}
 }
 
 // founders returns the names of the entries at the founders' addresses, once all
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -52,12 +52,12 @@
 	// Config, when set, replaces the configuration that the entries agree on; the
 	// load tool uses it.
 	Config config.View
-	// Linger is how long a stopping entry keeps answering after its work has
-	// ended; zero means DefaultLinger.
-	Linger time.Duration
-	// Notice is how long a stopping entry accepts submissions after it has reported
+	// LingerPeriod is how long a stopping entry keeps answering after its work has
+	// ended; zero means DefaultLingerPeriod.
+	LingerPeriod time.Duration
+	// NoticePeriod is how long a stopping entry accepts submissions after it has reported
 	// that it is not ready: the balancer sends callers until it notices.
-	Notice time.Duration
+	NoticePeriod time.Duration
 	// Grace is how long a planned stop may take before the remaining submissions are
 	// answered as failed; zero waits for all of them.
 	Grace time.Duration
@@ -81,11 +81,11 @@
 	// counts it for the metrics address.
 	LogEvents bool
 	// Attach, when set, returns additional servers of this entry.
-	Attach func(*Entry) []Attached
+	Attach func(*Entry) []AttachedServer
 }
 
-// Attached is an additional server of an entry. Its listener is already open.
-type Attached struct {
+// AttachedServer is an additional server of an entry. Its listener is already open.
+type AttachedServer struct {
 	Listener net.Listener
 	Server   *http.Server
 	// Intake says that the server only accepts submissions. The server ends when a
@@ -163,13 +163,13 @@
 // of a small entry VM's 1 GiB. Payloads are held once, as received.
 const maxBodyBytes = 512 << 20
 
-// DefaultLinger is how long a stopping entry keeps its listener and its
+// DefaultLingerPeriod is how long a stopping entry keeps its listener and its
 // connections. A caller that reuses a connection may write its next request while
 // the entry closes the connection, and can't know whether the entry read it. While
 // the entry lingers, each answer closes its connection, so at the end only
 // connections that were idle for the whole time remain to be closed. One second is
 // longer than the time between two requests on any busy connection.
-const DefaultLinger = time.Second
+const DefaultLingerPeriod = time.Second
 
 // stopTimeout bounds how long a stop waits, after all work has ended, for callers that
 // do not read their answers.
@@ -183,8 +183,8 @@
 	if o.Malformed == nil {
 		o.Malformed = malformed.New(o.Log)
 	}
-	if o.Linger == 0 {
-		o.Linger = DefaultLinger
+	if o.LingerPeriod == 0 {
+		o.LingerPeriod = DefaultLingerPeriod
 	}
 	if o.Incarnation == 0 {
 		o.Incarnation = job.Incarnation(time.Now().UnixNano())
@@ -393,7 +393,7 @@
 	g.Add(func() error { return f(ctx) }, func(error) { cancel() })
 }
 
-func (e *Entry) serveAttached(ctx context.Context, a Attached) error {
+func (e *Entry) serveAttached(ctx context.Context, a AttachedServer) error {
 	if !a.Intake {
 		return e.serve(ctx, a.Server, a.Listener)
 	}
@@ -433,5 +433,5 @@
 // Load returns the load of the pool's targets that this entry holds.
 func (e *Entry) Load(pool string) job.HolderLoad { return e.holder.Load(pool) }
 
-// Driving returns how many submissions this entry drives.
-func (e *Entry) Driving() int { return e.join.Driving() }
+// DrivenSubmissions returns how many submissions this entry drives.
+func (e *Entry) DrivenSubmissions() int { return e.join.Driving() }
--- a/internal/entry/inventory_test.go
+++ b/internal/entry/inventory_test.go
@@ -100,7 +100,7 @@
 // All VMs lose power. The entries and callers return within half a second, but targets
 // announce themselves only every second or two: until then all callers would be refused
 // while all targets are idle. Targets that ended or withdrew must not be reclaimed.
-func TestAfterALossOfAllPowerTargetsAreTakenAgain(t *testing.T) {
+func TestTargetsAreReclaimedAfterAPowerLoss(t *testing.T) {
 	withTestZone(t, func(t *testing.T, z *testZone) {
 		keeper, a := z.start("keeper", 1), z.start("a", 1)
 		z.hold(a, "t1", "t2", "t3", "t4")
@@ -139,7 +139,7 @@
 
 // The keeper was down itself while a target changed holders. The record on its disk is
 // outdated until the holders have reported again.
-func TestOldMemoryIsNotTrusted(t *testing.T) {
+func TestOutdatedRecordIsNotTrusted(t *testing.T) {
 	withTestZone(t, func(t *testing.T, z *testZone) {
 		keeper := z.start("keeper", 1)
 		a, b := z.start("a", 1), z.start("b", 1)
@@ -177,7 +177,7 @@
 
 // The holders of a zone reclaim their targets, some later than others. Rebalancing by their
 // current numbers of targets would move targets to holders that are about to reclaim their own.
-func TestTargetsThatAreTakenAgainStay(t *testing.T) {
+func TestReclaimedTargetsAreNotRebalanced(t *testing.T) {
 	withTestZone(t, func(t *testing.T, z *testZone) {
 		z.start("keeper", 1)
 		a := z.start("a", 1)
@@ -199,7 +199,7 @@
 // Targets announce themselves through any entry while their holder has just started. Each
 // announcement must reach the holder that has or reclaims the target. With a newly chosen
 // holder the target would change holders twice, and the tasks that run there would be stopped.
-func TestAnnouncementsFindTheHolderThatIsRemembered(t *testing.T) {
+func TestAnnouncementsReachTheRecordedHolder(t *testing.T) {
 	withTestZone(t, func(t *testing.T, z *testZone) {
 		keeper, a := z.start("keeper", 1), z.start("a", 1)
 		ids := []job.TargetID{"t1", "t2", "t3", "t4", "t5", "t6"}
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -43,12 +43,12 @@
 			announcements: map[job.TargetID]announcement{}, transfers: map[job.TargetID]job.EntryID{},
 		}
 		leaving := &job.Target{ID: "i-1", Pool: "p", Address: "10.0.0.1:80", Zone: "y"}
-		qt.Assert(t, ts.Leaving(t.Context(), leaving), qt.IsNil)
+		qt.Assert(t, ts.AnnounceStop(t.Context(), leaving), qt.IsNil)
 		qt.Assert(t, notified.Load(), qt.Equals, int64(1))
 		net.CutBoth("a", "b", true)
-		qt.Assert(t, ts.Leaving(t.Context(), leaving), qt.IsNotNil)
+		qt.Assert(t, ts.AnnounceStop(t.Context(), leaving), qt.IsNotNil)
 		elsewhere := &job.Target{ID: "i-2", Pool: "p", Address: "10.0.0.2:80", Zone: "z"}
-		qt.Assert(t, ts.Leaving(t.Context(), elsewhere), qt.IsNil)
+		qt.Assert(t, ts.AnnounceStop(t.Context(), elsewhere), qt.IsNil)
 		net.Leave("a")
 		net.Leave("b")
 	})
--- a/internal/entry/pause_again_test.go
+++ b/internal/entry/pause_again_test.go
@@ -34,7 +34,7 @@
 // reconnected, the holder reads the offer from the earlier connection. The owner is alive
 // now, but the offer is still old: the holder would run the job in parallel with its second
 // run.
-func TestAnOldOfferIsRefusedThoughItsOwnerIsHeardAgain(t *testing.T) {
+func TestOldOfferIsRefusedAfterItsOwnerReconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPausableEntry(t)
 		defer p.close()
--- a/internal/entry/pause_test.go
+++ b/internal/entry/pause_test.go
@@ -140,7 +140,7 @@
 // unread in the meantime. When the entry resumes, it must not treat them as proof that the
 // owner is alive and start the queued task in parallel with the second run: the studio would
 // be billed twice.
-func TestWordFromBeforeAPauseStartsNothing(t *testing.T) {
+func TestOwnerMessageFromBeforeAPauseStartsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPausableEntry(t)
 		defer p.close()
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -32,7 +32,7 @@
 	e.waitForNotice()
 	e.closeIntake()
 	e.check.Drain()
-	linger := time.NewTimer(e.opts.Linger)
+	linger := time.NewTimer(e.opts.LingerPeriod)
 	defer linger.Stop()
 	e.waitForSubmissions()
 	if err := e.holder.Drain(context.Background()); err != nil {
@@ -50,7 +50,7 @@
 // receive it.
 func (e *Entry) retireVote() {
 	if e.register != nil {
-		e.register.Retire(context.Background())
+		e.register.TransferVote(context.Background())
 	}
 }
 
@@ -58,7 +58,7 @@
 // entry serves submissions in the meantime: refusing them would lose them because of a
 // planned stop.
 func (e *Entry) waitForNotice() {
-	timer := time.NewTimer(e.opts.Notice)
+	timer := time.NewTimer(e.opts.NoticePeriod)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -70,7 +70,7 @@
 // open connections have had time for a last request.
 func (e *Entry) closeIntake() {
 	close(e.intakeClosed)
-	if e.opts.Notice > 0 {
+	if e.opts.NoticePeriod > 0 {
 		time.Sleep(api.LastRequestTime + intakeMargin)
 	}
 }
--- a/internal/entry/stop_test.go
+++ b/internal/entry/stop_test.go
@@ -27,12 +27,12 @@
 	served := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "served") })
 	const notice, linger = 200 * time.Millisecond, 3 * time.Second
 	e, err := New(Options{
-		Settings: settings.Entry{Name: "a", Zone: "z", CallerAddr: "127.0.0.1:0", PeerAddr: "127.0.0.1:0", OperatorAddr: "127.0.0.1:0"},
-		Config:   config.Fixed{File: &config.File{Number: 1}},
-		Notice:   notice,
-		Linger:   linger,
-		Attach: func(*Entry) []Attached {
-			return []Attached{{Listener: front, Server: api.Server(served, slog.New(slog.DiscardHandler)), Intake: true}}
+		Settings:     settings.Entry{Name: "a", Zone: "z", CallerAddr: "127.0.0.1:0", PeerAddr: "127.0.0.1:0", OperatorAddr: "127.0.0.1:0"},
+		Config:       config.Fixed{File: &config.File{Number: 1}},
+		NoticePeriod: notice,
+		LingerPeriod: linger,
+		Attach: func(*Entry) []AttachedServer {
+			return []AttachedServer{{Listener: front, Server: api.Server(served, slog.New(slog.DiscardHandler)), Intake: true}}
 		},
 	})
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -171,10 +171,10 @@
 	return last.target.Zone, ok
 }
 
-// Leaving announces that a target accepts no more work. It is acknowledged only when each
+// AnnounceStop announces that a target accepts no more work. It is acknowledged only when each
 // entry that may hold the target has been notified: otherwise the target would expect no
 // more work, but receive some until its lease ends.
-func (t *targets) Leaving(ctx context.Context, leaving *job.Target) error {
+func (t *targets) AnnounceStop(ctx context.Context, leaving *job.Target) error {
 	if err := t.validate(leaving); err != nil {
 		return errors.Trace(err)
 	}
--- a/internal/fleet/cancel_test.go
+++ b/internal/fleet/cancel_test.go
@@ -53,7 +53,7 @@
 	for running < n {
 		running = 0
 		for _, m := range f.entries {
-			running += m.entry.Driving()
+			running += m.entry.DrivenSubmissions()
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -243,14 +243,14 @@
 
 func (f *Fleet) run(m *member) error {
 	e, err := entry.New(entry.Options{
-		Settings:  f.settings(m),
-		Listeners: m.listen,
-		Log:       f.opts.Log,
-		Scheduler: f.opts.Scheduler,
-		Events:    f.opts.Events,
-		Config:    f.opts.Config,
-		Linger:    linger,
-		LogEvents: f.opts.LogEvents,
+		Settings:     f.settings(m),
+		Listeners:    m.listen,
+		Log:          f.opts.Log,
+		Scheduler:    f.opts.Scheduler,
+		Events:       f.opts.Events,
+		Config:       f.opts.Config,
+		LingerPeriod: linger,
+		LogEvents:    f.opts.LogEvents,
 	})
 	if err != nil {
 		return errors.Trace(err)
--- a/internal/register/fleet_test.go
+++ b/internal/register/fleet_test.go
@@ -29,8 +29,8 @@
 	mu          sync.Mutex
 	nodes       map[job.EntryID]*member
 	incarnation job.Incarnation
-	// mend, when set, enables the repair of the voter set.
-	mend *Mend
+	// repair, when set, enables the repair of the voter set.
+	repair *RepairOptions
 	// events, when set, receives the events of all entries.
 	events timeline.Sink
 	// wrap, when set, wraps the mesh of each entry that starts.
@@ -85,7 +85,7 @@
 		jump := rand.New(rand.NewPCG(incarnation, uint64(now.UnixNano()))).Int64N(int64(48 * time.Hour))
 		return now.Add(time.Duration(jump) - 24*time.Hour)
 	}
-	opts := Options{Mesh: mesh, Voters: f.voters, Entries: f.entries, Clock: clock, Mend: f.mend, Events: f.events}
+	opts := Options{Mesh: mesh, Voters: f.voters, Entries: f.entries, Clock: clock, Repair: f.repair, Events: f.events}
 	if fs != nil {
 		store, err := storage.Open("data", fs)
 		qt.Assert(f.t, err, qt.IsNil)
--- a/internal/register/metrics.go
+++ b/internal/register/metrics.go
@@ -30,11 +30,11 @@
 	return r.node.Round
 }
 
-// VoterFigures are the results of the last assessment of the voters; zero on an
+// VoterMetrics are the results of the last assessment of the voters; zero on an
 // entry that does not vote.
-type VoterFigures struct {
-	// Heard counts the reachable voters whose disks are those that the register lists.
-	Heard int64
+type VoterMetrics struct {
+	// Reachable counts the reachable voters whose disks are those that the register lists.
+	Reachable int64
 	// LossesLeft is how many of them may still be lost without losing the majority;
 	// negative when there is no majority.
 	LossesLeft int64
@@ -42,7 +42,7 @@
 	Spares int64
 }
 
-// VoterFigures returns the metrics of the voters.
-func (r *Register) VoterFigures() VoterFigures {
-	return VoterFigures{Heard: r.reachableVoters.Load(), LossesLeft: r.lossesLeft.Load(), Spares: r.spareDisks.Load()}
+// VoterMetrics returns the metrics of the voters.
+func (r *Register) VoterMetrics() VoterMetrics {
+	return VoterMetrics{Reachable: r.reachableVoters.Load(), LossesLeft: r.lossesLeft.Load(), Spares: r.spareDisks.Load()}
 }
--- a/internal/register/node.go
+++ b/internal/register/node.go
@@ -197,7 +197,7 @@
 // awaitingFormation passes the entries that form the register to the node once they
 // are known. It reports whether the register is still to be formed.
 func (r *Register) awaitingFormation() bool {
-	if r.opts.Found == nil {
+	if r.opts.InitialVoters == nil {
 		return false
 	}
 	r.mu.Lock()
@@ -207,7 +207,7 @@
 	if !unformed || named {
 		return unformed
 	}
-	if genesis := r.opts.Found(); len(genesis) > 0 {
+	if genesis := r.opts.InitialVoters(); len(genesis) > 0 {
 		r.log.Info("initial voters known", "entries", genesis)
 		r.step(consensus.Founded{Genesis: genesis})
 	}
--- a/internal/register/powerloss_test.go
+++ b/internal/register/powerloss_test.go
@@ -55,8 +55,8 @@
 	}
 	f.enableRepair(2*tolerate + 1)
 	f.voters = d.founders
-	inner := f.mend.Disks
-	f.mend.Disks = func() []voters.Disk {
+	inner := f.repair.Disks
+	f.repair.Disks = func() []voters.Disk {
 		return slices.DeleteFunc(inner(), func(x voters.Disk) bool { return !hasDisk(x.Entry) })
 	}
 	for _, e := range f.entries {
--- a/internal/register/propagation.go
+++ b/internal/register/propagation.go
@@ -226,7 +226,7 @@
 	if len(voters) == 0 {
 		return
 	}
-	if r.opts.Sparse != nil && r.opts.Sparse() {
+	if r.opts.SparseHeartbeats != nil && r.opts.SparseHeartbeats() {
 		r.probeRoundRobin(ctx, voters)
 		return
 	}
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -65,19 +65,19 @@
 	// Voters are the entries that form the register at the first start of the
 	// fleet. Afterwards the register itself stores the set of voters.
 	Voters []job.EntryID
-	// Found returns the voters that form the register, where entries discover
+	// InitialVoters returns the voters that form the register, where entries discover
 	// each other; nil until they are known. It is called only while the register
 	// is not formed.
-	Found func() []job.EntryID
-	// Entries are the entries listed in the settings, Others those discovered
+	InitialVoters func() []job.EntryID
+	// Entries are the entries listed in the settings, Discovered those discovered
 	// since.
-	Entries []job.EntryID
-	Others  func() []job.EntryID
-	// Mend, when set, enables the repair of the voter set without an operator.
-	Mend *Mend
-	// Sparse reports whether this entry receives heartbeats from few entries only, so
+	Entries    []job.EntryID
+	Discovered func() []job.EntryID
+	// Repair, when set, enables the repair of the voter set without an operator.
+	Repair *RepairOptions
+	// SparseHeartbeats reports whether this entry receives heartbeats from few entries only, so
 	// that most voters without recent messages are healthy. Nil means never.
-	Sparse func() bool
+	SparseHeartbeats func() bool
 	// Parse parses a file; nil means config.Parse.
 	Parse  func(name string, body []byte) (*config.File, error)
 	Log    *slog.Logger
@@ -223,7 +223,7 @@
 		wg.Go(func() { r.writeLoop(ctx) })
 		wg.Go(func() { r.retryLoop(ctx) })
 		wg.Go(func() { r.finishLoop(ctx) })
-		if r.opts.Mend != nil {
+		if r.opts.Repair != nil {
 			wg.Go(func() { r.repairLoop(ctx) })
 		}
 	}
@@ -329,8 +329,8 @@
 // others returns all known entries except this one.
 func (r *Register) others() []job.EntryID {
 	all := slices.Concat(r.voters(), r.opts.Voters, r.opts.Entries)
-	if r.opts.Others != nil {
-		all = append(all, r.opts.Others()...)
+	if r.opts.Discovered != nil {
+		all = append(all, r.opts.Discovered()...)
 	}
 	slices.Sort(all)
 	all = slices.Compact(all)
--- a/internal/register/repair.go
+++ b/internal/register/repair.go
@@ -35,8 +35,8 @@
 	retirePollInterval = 20 * time.Millisecond
 )
 
-// Mend configures the automatic repair of the voter set.
-type Mend struct {
+// RepairOptions configures the automatic repair of the voter set.
+type RepairOptions struct {
 	// Want is how many voters the fleet needs.
 	Want int
 	// Within is the time within which a dead voter must be replaced: afterwards the
@@ -93,7 +93,7 @@
 	}
 	now := time.Now()
 	disks := r.listDisks(s, now)
-	decision := voters.Plan(now, disks, r.opts.Mend.Want)
+	decision := voters.Plan(now, disks, r.opts.Repair.Want)
 	turnOrder := voters.Order(disks, &decision)
 	r.logAssessment(s, disks, decision, turnOrder)
 	due := dueChange{s.Version, decision.Action}
@@ -107,11 +107,11 @@
 	return r.changeVoters(ctx, s.Version, decision.Action)
 }
 
-// Retire transfers this entry's vote to a spare disk, if there is one, before a planned
+// TransferVote transfers this entry's vote to a spare disk, if there is one, before a planned
 // stop: otherwise the set would have one voter less until its repair. It returns when the
 // vote was transferred or can't be transferred.
-func (r *Register) Retire(ctx context.Context) {
-	if r.opts.Mend == nil {
+func (r *Register) TransferVote(ctx context.Context) {
+	if r.opts.Repair == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, retireTimeout)
@@ -159,7 +159,7 @@
 	r.repairState.assessment = assessed
 	r.log.Info("voters assessed", "reason", v.Reason, "voter", v.Voter, "spare", v.Action.New, "acts", actor,
 		"version", s.Version, "voters", len(s.Voters), "heard", reachable, "losses_left", reachable-majority,
-		"spare_disks", spares, "wanted", r.opts.Mend.Want, "disks", describeDisks(disks, time.Now()))
+		"spare_disks", spares, "wanted", r.opts.Repair.Want, "disks", describeDisks(disks, time.Now()))
 }
 
 // describeDisks describes each disk's role, liveness and the age of its liveness.
@@ -185,7 +185,7 @@
 // listDisks lists the disks, marks the voters and sets since when entries have not
 // been alive.
 func (r *Register) listDisks(s *snapshot, now time.Time) []voters.Disk {
-	disks := r.opts.Mend.Disks()
+	disks := r.opts.Repair.Disks()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, v := range s.Voters {
@@ -263,11 +263,11 @@
 		took = time.Since(since)
 	}
 	level := slog.LevelInfo
-	if within := r.opts.Mend.Within; within > 0 && took > within {
+	if within := r.opts.Repair.Within; within > 0 && took > within {
 		level = slog.LevelWarn
 	}
 	r.log.Log(context.Background(), level, "voter set repaired", "old", a.Old, "new", a.New, "identity", identity,
-		"cause", a.Cause, "away_ms", took.Milliseconds(), "within_ms", r.opts.Mend.Within.Milliseconds())
+		"cause", a.Cause, "away_ms", took.Milliseconds(), "within_ms", r.opts.Repair.Within.Milliseconds())
 	r.events.Record(timeline.Event{Kind: timeline.VotersChanged, Peer: a.New, Cause: describeChange(a), Took: took})
 }
 
--- a/internal/register/repair_test.go
+++ b/internal/register/repair_test.go
@@ -23,7 +23,7 @@
 func (f *fleet) enableRepair(want int) {
 	since := map[job.EntryID]time.Time{}
 	alive := map[job.EntryID]bool{}
-	f.mend = &Mend{Want: want, Disks: func() []voters.Disk {
+	f.repair = &RepairOptions{Want: want, Disks: func() []voters.Disk {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		var out []voters.Disk
--- a/internal/register/series_test.go
+++ b/internal/register/series_test.go
@@ -39,7 +39,7 @@
 		r:         rand.New(rand.NewPCG(seed, uint64(want))),
 		startedAt: map[job.EntryID]time.Time{}, stoppedAt: map[job.EntryID]time.Time{}, draining: map[job.EntryID]bool{},
 	}
-	s.mend = &Mend{Want: want, Disks: s.listDisks}
+	s.repair = &RepairOptions{Want: want, Disks: s.listDisks}
 	for range disks {
 		s.entries = append(s.entries, s.newName())
 	}
@@ -114,7 +114,7 @@
 	s.mu.Lock()
 	s.draining[e] = true
 	s.mu.Unlock()
-	s.nodes[e].Retire(s.t.Context())
+	s.nodes[e].TransferVote(s.t.Context())
 	s.lose(e)
 }
 
