--- a/internal/entry/attach.go
+++ b/internal/entry/attach.go
@@ -23,7 +23,7 @@
 }
 
 // RecordRefusal records a refusal by another server of this entry.
-func (e *Entry) RecordRefusal(a job.Answer) { e.record.Refused(a) }
+func (e *Entry) RecordRefusal(a job.Answer) { e.record.RecordRefusal(a) }
 
 // Config returns the view of the configuration in effect.
 func (e *Entry) Config() config.View { return e.config }
@@ -69,7 +69,7 @@
 	m := e.metrics
 	m.Gauge("vanillagrade_log_lines_left_out", func() float64 { return float64(e.eventLog.LeftOut()) })
 	m.Gauge("vanillagrade_log_lines_dropped", func() float64 { return float64(droppedLines()) })
-	m.Gauge("vanillagrade_submissions_running", func() float64 { return float64(e.join.Running()) })
+	m.Gauge("vanillagrade_submissions_running", func() float64 { return float64(e.join.RunningCount()) })
 	m.Gauge("vanillagrade_configuration_number", func() float64 { return float64(e.Configuration()) })
 	m.Gauge("vanillagrade_body_bytes", func() float64 { return float64(e.memory.Used()) })
 	m.Gauge("vanillagrade_targets_held", func() float64 { return float64(len(e.targets.registry.Held())) })
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -286,7 +286,7 @@
 	e.admit = pipeline.NewAdmit(e.events)
 	e.assembleRegistrar()
 	e.serveSearches()
-	fresh := &pipeline.Fresh{Events: e.events}
+	fresh := &pipeline.Freshness{Events: e.events}
 	if e.rights != nil {
 		e.handoverServer.RequireRights(e.rights)
 		fresh.Right = e.rights.ownRight
@@ -434,4 +434,4 @@
 func (e *Entry) Load(pool string) job.HolderLoad { return e.holder.Load(pool) }
 
 // DrivenSubmissions returns how many submissions this entry drives.
-func (e *Entry) DrivenSubmissions() int { return e.join.Driving() }
+func (e *Entry) DrivenSubmissions() int { return e.join.OwnedCount() }
--- a/internal/entry/keep.go
+++ b/internal/entry/keep.go
@@ -99,7 +99,7 @@
 func (e *Entry) driveOrphans(ctx context.Context) {
 	view := e.members.View()
 	gone := func(owner job.Owner) bool { return e.incarnationEnded(&view, owner) }
-	for _, kept := range e.keeper.Open(gone) {
+	for _, kept := range e.keeper.Orphans(gone) {
 		e.keeper.Adopt(kept.Submission.ID, e.self)
 		go e.drive(ctx, kept)
 	}
--- a/internal/entry/operator.go
+++ b/internal/entry/operator.go
@@ -53,7 +53,7 @@
 		Self:            e.self,
 		Version:         version(),
 		Draining:        e.check.Draining,
-		Running:         e.join.Running,
+		Running:         e.join.RunningCount,
 		Pools:           e.holder.Pools,
 		Members:         e.memberStates,
 		Holders:         e.members.Loads,
@@ -102,7 +102,7 @@
 func (e *Entry) vars() *expvar.Map {
 	m := new(expvar.Map).Init()
 	m.Set("entry", expvar.Func(func() any { return e.self.Entry }))
-	m.Set("running_submissions", expvar.Func(func() any { return e.join.Running() }))
+	m.Set("running_submissions", expvar.Func(func() any { return e.join.RunningCount() }))
 	m.Set("body_bytes", expvar.Func(func() any { return e.memory.Used() }))
 	m.Set("holder", expvar.Func(func() any { return e.holder.Stats() }))
 	m.Set("outcomes", expvar.Func(func() any { outcomes, _ := e.record.Counts(); return outcomes }))
--- a/internal/entry/rights.go
+++ b/internal/entry/rights.go
@@ -60,14 +60,14 @@
 	return out
 }
 
-// Holds implements job.Right.
-func (r right) Holds() bool {
+// Valid implements job.Right.
+func (r right) Valid() bool {
 	now := r.clock.Now()
 	return r.lease.Holds(now) && (r.deadline.IsZero() || now.Before(r.deadline))
 }
 
-// Left implements job.Right.
-func (r right) Left() time.Duration {
+// Remaining implements job.Right.
+func (r right) Remaining() time.Duration {
 	now := r.clock.Now()
 	left := r.lease.WorkDeadline().Sub(now)
 	if r.deadline.IsZero() {
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -22,7 +22,7 @@
 	e.draining.Store(true)
 	e.members.Drain()
 	e.events.Record(timeline.Event{Kind: timeline.EntryDraining})
-	e.log.Info("entry drains", "submissions", e.join.Running())
+	e.log.Info("entry drains", "submissions", e.join.RunningCount())
 	if e.opts.Grace > 0 {
 		last := time.AfterFunc(e.opts.Grace, func() { e.join.StopAll(pipeline.ErrStopping) })
 		defer last.Stop()
@@ -84,7 +84,7 @@
 const drainPollInterval = 20 * time.Millisecond
 
 func (e *Entry) waitForSubmissions() {
-	for e.join.Running() > 0 {
+	for e.join.RunningCount() > 0 {
 		time.Sleep(drainPollInterval)
 	}
 }
--- a/internal/handover/record.go
+++ b/internal/handover/record.go
@@ -51,7 +51,7 @@
 	for i := range b.Tasks {
 		longest = max(longest, b.Tasks[i].Declared())
 	}
-	late := job.LateAfter(b.Stretch, b.Slack, longest)
+	late := job.LateThreshold(b.Stretch, b.Slack, longest)
 	if late == 0 {
 		return 0
 	}
--- a/internal/handover/remote.go
+++ b/internal/handover/remote.go
@@ -219,7 +219,7 @@
 		if b.Transient && r.isCancelled(b.Submission, o.Number) {
 			return r.confirmCancel(ctx, to, &o, sent)
 		}
-		if !job.Holds(b.Right) {
+		if !job.RightValid(b.Right) {
 			return pausedOwnerOutcomes(&b, sent)
 		}
 		o.Acked = r.takeAcks(to)
--- a/internal/holder/batch.go
+++ b/internal/holder/batch.go
@@ -99,7 +99,7 @@
 	if b.offered.Right == nil {
 		return nil
 	}
-	return b.offered.Right.Left
+	return b.offered.Right.Remaining
 }
 
 // ended reports whether the batch has been reported and no task of it still
--- a/internal/holder/link.go
+++ b/internal/holder/link.go
@@ -45,7 +45,7 @@
 			p.links[t.ID] = l
 		}
 		l.target = t
-		l.maxSize = l.maxSize.Largest(t.Room())
+		l.maxSize = l.maxSize.Max(t.Capacity())
 		l.removed, l.planned = false, false
 		p.sched.SetTarget(now, t)
 	})
--- a/internal/holder/pool.go
+++ b/internal/holder/pool.go
@@ -177,7 +177,7 @@
 			p.refuse(e, report, duplicateOutcomes(offered, first))
 			return
 		}
-		if !job.Holds(offered.Right) {
+		if !job.RightValid(offered.Right) {
 			p.refuse(e, report, notStartedOutcomes(offered.Tasks, scheduler.Admission{Reason: job.HolderLost, Detail: "no recent proof that the owner is alive"}))
 			return
 		}
@@ -356,7 +356,7 @@
 func (p *pool) dropUnauthorized() {
 	p.update(func(now time.Time, e *effects) {
 		for _, b := range p.batches {
-			if !b.reported && !job.Holds(b.offered.Right) {
+			if !b.reported && !job.RightValid(b.offered.Right) {
 				p.abandonUnauthorized(now, b, e)
 			}
 		}
--- a/internal/holder/task.go
+++ b/internal/holder/task.go
@@ -59,7 +59,7 @@
 	p.mu.Lock()
 	reported := b.reported
 	p.mu.Unlock()
-	return !reported && job.Holds(b.offered.Right)
+	return !reported && job.RightValid(b.offered.Right)
 }
 
 // startCause describes why the scheduler chose the target. The texts are constant
@@ -93,7 +93,7 @@
 		p.countResult(res)
 		b.addOutcome(outcomeOf(l, res))
 	}
-	if res.Status != job.TaskDone && !job.Holds(b.offered.Right) {
+	if res.Status != job.TaskDone && !job.RightValid(b.offered.Right) {
 		p.abandonUnauthorized(now, b, e)
 	}
 	p.finishIfDone(now, b, e)
@@ -118,7 +118,7 @@
 	if l.batch.reported || res.Status == job.TaskDone || p.holder.ctx.Err() != nil {
 		return false
 	}
-	if !job.Holds(l.batch.offered.Right) {
+	if !job.RightValid(l.batch.offered.Right) {
 		return false
 	}
 	if res.Status == job.TaskErred && !p.mayRunAgain(l, res) && !p.mayRepeat(now, l, res) {
@@ -265,7 +265,7 @@
 	if res.Status == job.TaskNotStarted && res.Refusal != target.Abandoned {
 		o.Reason = job.TargetRefused
 	}
-	if res.Status != job.TaskDone && !job.Holds(l.batch.offered.Right) {
+	if res.Status != job.TaskDone && !job.RightValid(l.batch.offered.Right) {
 		o.Reason = job.HolderLost
 	}
 	return o
--- a/internal/holder/transient_test.go
+++ b/internal/holder/transient_test.go
@@ -86,9 +86,9 @@
 	lost  chan struct{}
 }
 
-func (r *revocableRight) Holds() bool           { return !r.ended.Load() }
-func (r *revocableRight) Left() time.Duration   { return time.Second }
-func (r *revocableRight) Lost() <-chan struct{} { return r.lost }
+func (r *revocableRight) Valid() bool              { return !r.ended.Load() }
+func (r *revocableRight) Remaining() time.Duration { return time.Second }
+func (r *revocableRight) Lost() <-chan struct{}    { return r.lost }
 
 // A holder receives nothing from an owner any more. It must stop that owner's tasks, while
 // the work of other owners continues. If the owner is alive after all, it receives the
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -45,9 +45,9 @@
 // IsZero reports whether o identifies no owner.
 func (o Owner) IsZero() bool { return o == Owner{} }
 
-// AttemptUnsaid is the attempt number of a submission whose caller did not state
+// AttemptUnknown is the attempt number of a submission whose caller did not state
 // whether it has sent the same id before.
-const AttemptUnsaid = 0
+const AttemptUnknown = 0
 
 // TaskSpec is one task as described by the caller. The declared run time and sizes
 // are hints and often far off.
@@ -150,7 +150,7 @@
 	Team     string
 	Service  string
 	// Attempt is the number of the caller's attempt with this id, or
-	// AttemptUnsaid if the caller did not state it.
+	// AttemptUnknown if the caller did not state it.
 	Attempt  int
 	Tasks    []TaskSpec
 	Received time.Time
@@ -207,10 +207,10 @@
 // the real ones are unknown for a task that was paused.
 const lateFactor = 1.25
 
-// LateAfter returns the response time after which an answer counts as late, for a job
+// LateThreshold returns the response time after which an answer counts as late, for a job
 // of a service with this latency objective. The objective is stretch times the run time
 // of the longest task, plus slack. Zero means that no answer counts as late.
-func LateAfter(stretch float64, slack, longestTask time.Duration) time.Duration {
+func LateThreshold(stretch float64, slack, longestTask time.Duration) time.Duration {
 	if stretch <= 0 {
 		return 0
 	}
@@ -218,9 +218,9 @@
 	return time.Duration(lateFactor * objective)
 }
 
-// UsefulFor is the multiple of the latency objective up to which an answer is still useful
+// UsefulFactor is the multiple of the latency objective up to which an answer is still useful
 // to callers, according to them.
-const UsefulFor = 3
+const UsefulFactor = 3
 
 // Declared returns the declared run time of the task.
 func (t *TaskSpec) Declared() time.Duration { return time.Duration(t.RunMillis) * time.Millisecond }
--- a/internal/job/load.go
+++ b/internal/job/load.go
@@ -52,13 +52,13 @@
 	}
 }
 
-// Largest returns the larger of two sizes in each dimension.
-func (s Size) Largest(o Size) Size {
+// Max returns the larger of two sizes in each dimension.
+func (s Size) Max(o Size) Size {
 	out := Size{
 		Processors: s.Processors, MilliProcessors: s.MilliProcessors,
 		MemoryMB: max(s.MemoryMB, o.MemoryMB), Accelerators: max(s.Accelerators, o.Accelerators),
 	}
-	if o.Millis() > s.Millis() {
+	if o.TotalMilliProcessors() > s.TotalMilliProcessors() {
 		out.Processors, out.MilliProcessors = o.Processors, o.MilliProcessors
 	}
 	return out
@@ -67,12 +67,12 @@
 // milliPerProcessor is the number of thousandths in one processor.
 const milliPerProcessor = 1000
 
-// Millis returns the total processors in thousandths.
-func (s Size) Millis() int { return s.Processors*milliPerProcessor + s.MilliProcessors }
+// TotalMilliProcessors returns the total processors in thousandths.
+func (s Size) TotalMilliProcessors() int { return s.Processors*milliPerProcessor + s.MilliProcessors }
 
 // Fits reports whether a task of size s fits into the available capacity.
 func (s Size) Fits(available Size) bool {
-	return s.Millis() <= available.Millis() && s.MemoryMB <= available.MemoryMB && s.Accelerators <= available.Accelerators
+	return s.TotalMilliProcessors() <= available.TotalMilliProcessors() && s.MemoryMB <= available.MemoryMB && s.Accelerators <= available.Accelerators
 }
 
 // Target is one target as it announces itself.
@@ -97,7 +97,7 @@
 	MilliProcessors int `json:"milli_processors,omitempty" cbor:"12,keyasint,omitempty"`
 }
 
-// Room returns the total capacity of the target.
-func (t *Target) Room() Size {
+// Capacity returns the total capacity of the target.
+func (t *Target) Capacity() Size {
 	return Size{Processors: t.Processors, MemoryMB: t.MemoryMB, Accelerators: t.Accelerators, MilliProcessors: t.MilliProcessors}
 }
--- a/internal/job/right.go
+++ b/internal/job/right.go
@@ -6,15 +6,15 @@
 // owner or the entry itself was paused or unreachable for so long that the work may have
 // been abandoned and started elsewhere. Once ended, it is never regained.
 type Right interface {
-	// Holds reports whether the right is valid at this moment. Check it immediately
+	// Valid reports whether the right is valid at this moment. Check it immediately
 	// before starting any work.
-	Holds() bool
-	// Left returns how long work under the right may continue if the right is not
+	Valid() bool
+	// Remaining returns how long work under the right may continue if the right is not
 	// renewed.
-	Left() time.Duration
+	Remaining() time.Duration
 	// Lost returns a channel that is closed once the end of the right is detected.
 	Lost() <-chan struct{}
 }
 
-// Holds reports whether r is valid. Nil, for work that needs no right, is always valid.
-func Holds(r Right) bool { return r == nil || r.Holds() }
+// RightValid reports whether r is valid. Nil, for work that needs no right, is always valid.
+func RightValid(r Right) bool { return r == nil || r.Valid() }
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -285,9 +285,9 @@
 	return f.Answer, f.Digest, ok
 }
 
-// Open returns the kept submissions without an answer for which isGone reports
+// Orphans returns the kept submissions without an answer for which isGone reports
 // that the incarnation of their owner has ended.
-func (k *Keeper) Open(isGone func(job.Owner) bool) []Kept {
+func (k *Keeper) Orphans(isGone func(job.Owner) bool) []Kept {
 	k.mu.Lock()
 	all := make([]*openSubmission, 0, len(k.open))
 	for _, o := range k.open {
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -61,7 +61,7 @@
 	qt.Assert(t, log.Close(), qt.IsNil)
 
 	k, log = openLog(t, dir)
-	open := k.Open(anyOwner)
+	open := k.Orphans(anyOwner)
 	qt.Assert(t, open, qt.HasLen, 1)
 	qt.Assert(t, open[0].Owner, qt.Equals, owner)
 	qt.Assert(t, open[0].Submission.Digest, qt.Equals, forecast().Digest)
@@ -74,7 +74,7 @@
 
 	k, log = openLog(t, dir)
 	defer log.Close()
-	qt.Assert(t, k.Open(anyOwner), qt.HasLen, 0)
+	qt.Assert(t, k.Orphans(anyOwner), qt.HasLen, 0)
 	got, digest, ok := k.Answer("forecast")
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, digest, qt.Equals, forecast().Digest)
@@ -92,7 +92,7 @@
 	qt.Assert(t, log.Close(), qt.IsNil)
 	k, log = openLog(t, dir)
 	defer log.Close()
-	qt.Assert(t, k.Open(anyOwner), qt.HasLen, 0)
+	qt.Assert(t, k.Orphans(anyOwner), qt.HasLen, 0)
 	qt.Assert(t, k.Accept(ctx, owner, forecast()), qt.IsNil)
 }
 
@@ -126,7 +126,7 @@
 		defer cancel()
 		err := (&Remote{Mesh: ownerSide, Entry: keeper.Entry}).Accept(ctx, owner, forecast())
 		qt.Assert(t, errors.Is(err, ErrUncertain), qt.IsTrue)
-		qt.Assert(t, k.Open(anyOwner), qt.HasLen, 1)
+		qt.Assert(t, k.Orphans(anyOwner), qt.HasLen, 1)
 		time.Sleep(time.Second)
 	})
 }
--- a/internal/pipeline/check_test.go
+++ b/internal/pipeline/check_test.go
@@ -33,8 +33,8 @@
 	}{
 		{true, 1, true},
 		{true, 2, false},
-		{true, job.AttemptUnsaid, false},
-		{false, job.AttemptUnsaid, true},
+		{true, job.AttemptUnknown, false},
+		{false, job.AttemptUnknown, true},
 	}
 	for _, test := range tests {
 		for _, service := range []string{"s", "gone"} {
--- a/internal/pipeline/collect.go
+++ b/internal/pipeline/collect.go
@@ -13,7 +13,7 @@
 const maxResultBytes = 64 << 20
 
 // Collector gathers the outcomes of one submission's tasks and decides its
-// answer. It does no I/O and no locking: it maps outcomes to a Verdict, and its
+// answer. It does no I/O and no locking: it maps outcomes to a Decision, and its
 // user holds a lock.
 //
 // A job's answer is complete only when every task has a result. Collector drops
@@ -36,8 +36,8 @@
 	withdrawing bool
 }
 
-// Verdict is what the owner does next.
-type Verdict struct {
+// Decision is what the owner does next.
+type Decision struct {
 	// Finished is set once, together with Answer, when the answer is decided.
 	Finished bool
 	Answer   job.Answer
@@ -100,16 +100,16 @@
 // Offered records that tasks were offered to a holder.
 func (c *Collector) Offered() { c.offered = true }
 
-// GiveUp adds outcomes of tasks that are not offered to another holder.
-func (c *Collector) GiveUp(outcomes []job.TaskOutcome) Verdict { return c.add(outcomes, false) }
+// Abandon adds outcomes of tasks that are not offered to another holder.
+func (c *Collector) Abandon(outcomes []job.TaskOutcome) Decision { return c.add(outcomes, false) }
 
 // Add adds outcomes that a holder reported. Tasks that another holder may start
-// are returned in Verdict.Reoffer.
-func (c *Collector) Add(outcomes []job.TaskOutcome) Verdict { return c.add(outcomes, true) }
+// are returned in Decision.Reoffer.
+func (c *Collector) Add(outcomes []job.TaskOutcome) Decision { return c.add(outcomes, true) }
 
-func (c *Collector) add(outcomes []job.TaskOutcome, mayReoffer bool) Verdict {
+func (c *Collector) add(outcomes []job.TaskOutcome, mayReoffer bool) Decision {
 	if c.finished {
-		return Verdict{}
+		return Decision{}
 	}
 	var reoffer []int
 	for _, o := range outcomes {
@@ -155,9 +155,9 @@
 	return false
 }
 
-func (c *Collector) decide(reoffer []int) Verdict {
+func (c *Collector) decide(reoffer []int) Decision {
 	if c.failure == nil && c.done < len(c.outcomes) {
-		return Verdict{Reoffer: reoffer}
+		return Decision{Reoffer: reoffer}
 	}
 	if c.failure != nil && c.possiblyNotRun() {
 		for _, task := range reoffer {
@@ -167,7 +167,7 @@
 		if len(c.Open()) > 0 {
 			first := !c.withdrawing
 			c.withdrawing = true
-			return Verdict{Withdraw: first}
+			return Decision{Withdraw: first}
 		}
 		reoffer = nil
 	}
@@ -181,19 +181,19 @@
 	return c.submission.Transient && c.failure.Status == job.TaskNotStarted && c.done == 0 && c.erred == 0 && !c.lostRun
 }
 
-func (c *Collector) finish(reoffer []int) Verdict {
+func (c *Collector) finish(reoffer []int) Decision {
 	c.finished = true
 	if c.failure == nil {
-		return Verdict{Finished: true, Answer: c.completeAnswer()}
+		return Decision{Finished: true, Answer: c.completeAnswer()}
 	}
-	return Verdict{Finished: true, Answer: c.failedAnswer(reoffer)}
+	return Decision{Finished: true, Answer: c.failedAnswer(reoffer)}
 }
 
-// Conclude ends a failed submission without waiting for the outcomes that are
+// ForceFinish ends a failed submission without waiting for the outcomes that are
 // still missing.
-func (c *Collector) Conclude() Verdict {
+func (c *Collector) ForceFinish() Decision {
 	if c.finished || c.failure == nil {
-		return Verdict{}
+		return Decision{}
 	}
 	return c.finish(nil)
 }
@@ -241,14 +241,14 @@
 // Stop ends the submission early: after a cancellation, at its deadline or once
 // its caller is gone. Tasks may be queued or running, so the answer says "not
 // run" only if no task was ever offered.
-func (c *Collector) Stop(outcome job.Outcome, reason job.Reason, detail string) Verdict {
+func (c *Collector) Stop(outcome job.Outcome, reason job.Reason, detail string) Decision {
 	if c.finished {
-		return Verdict{}
+		return Decision{}
 	}
 	c.finished = true
 	a := job.Answer{ID: c.submission.ID, Outcome: outcome, Reason: reason, Detail: detail}
 	if !c.offered && c.done == 0 && c.erred == 0 {
 		a.Run = job.NotRun()
 	}
-	return Verdict{Finished: true, Answer: a}
+	return Decision{Finished: true, Answer: a}
 }
--- a/internal/pipeline/collect_test.go
+++ b/internal/pipeline/collect_test.go
@@ -50,10 +50,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := NewCollector(submission(test.tasks), nil, nil)
 			c.Offered()
-			var last Verdict
+			var last Decision
 			for _, r := range test.reports {
 				if test.abandon {
-					last = c.GiveUp(r)
+					last = c.Abandon(r)
 					continue
 				}
 				last = c.Add(r)
@@ -157,5 +157,5 @@
 	}
 	unanswered := NewCollector(&job.Submission{ID: "j", Transient: true, Tasks: make([]job.TaskSpec, 2)}, nil, nil)
 	unanswered.Add([]job.TaskOutcome{abandoned(0)})
-	qt.Assert(t, unanswered.Conclude().Answer.Run, qt.Equals, job.MayHaveRun)
+	qt.Assert(t, unanswered.ForceFinish().Answer.Run, qt.Equals, job.MayHaveRun)
 }
--- a/internal/pipeline/fresh.go
+++ b/internal/pipeline/fresh.go
@@ -15,11 +15,11 @@
 // read the requests that arrived during the pause.
 const pausedRetryAfter = time.Second
 
-// Fresh attaches a right to act to transient submissions. It refuses those that may have
+// Freshness attaches a right to act to transient submissions. It refuses those that may have
 // waited unread while the entry was paused: the caller may have sent such a job to another
 // entry since, and both entries would run it. No task of it ran here, so the refusal says
 // "not run" and carries a retry delay.
-type Fresh struct {
+type Freshness struct {
 	// Right returns the right to act for a caller whose request was read just now and
 	// who waits for the remaining time (zero: without limit). It returns false if the
 	// request may have arrived before the end of a recent pause. If Right is nil,
@@ -29,7 +29,7 @@
 }
 
 // Process implements Stage.
-func (s *Fresh) Process(ctx context.Context, f *Flow, next Next) job.Answer {
+func (s *Freshness) Process(ctx context.Context, f *Flow, next Next) job.Answer {
 	if s.Right == nil || !f.Submission.Transient {
 		return next(ctx, f)
 	}
--- a/internal/pipeline/fresh_test.go
+++ b/internal/pipeline/fresh_test.go
@@ -13,15 +13,15 @@
 
 type validRight struct{ lost chan struct{} }
 
-func (s validRight) Holds() bool           { return true }
-func (s validRight) Left() time.Duration   { return time.Second }
-func (s validRight) Lost() <-chan struct{} { return s.lost }
+func (s validRight) Valid() bool              { return true }
+func (s validRight) Remaining() time.Duration { return time.Second }
+func (s validRight) Lost() <-chan struct{}    { return s.lost }
 
 // An entry is paused while requests wait unread, and their callers send the jobs through
 // other entries. When the entry resumes, it reads the old requests like new ones. It must
 // run none of them and answer "not run" with a retry delay.
 func TestStaleRequestsAfterPauseAreRefused(t *testing.T) {
-	s := &Fresh{Right: func(time.Duration) (job.Right, bool) { return nil, false }, Events: timeline.Discard{}}
+	s := &Freshness{Right: func(time.Duration) (job.Right, bool) { return nil, false }, Events: timeline.Discard{}}
 	f := &Flow{Submission: &job.Submission{ID: "j", Transient: true}}
 	a := s.Process(t.Context(), f, func(context.Context, *Flow) job.Answer {
 		t.Fatal("the job was accepted")
@@ -35,7 +35,7 @@
 
 func TestFreshTransientRequestsGetARight(t *testing.T) {
 	right := validRight{make(chan struct{})}
-	s := &Fresh{Right: func(time.Duration) (job.Right, bool) { return right, true }, Events: timeline.Discard{}}
+	s := &Freshness{Right: func(time.Duration) (job.Right, bool) { return right, true }, Events: timeline.Discard{}}
 	for _, transient := range []bool{true, false} {
 		f := &Flow{Submission: &job.Submission{ID: "j", Transient: transient}}
 		s.Process(t.Context(), f, func(_ context.Context, f *Flow) job.Answer {
--- a/internal/pipeline/join.go
+++ b/internal/pipeline/join.go
@@ -162,14 +162,14 @@
 	return nil
 }
 
-// Driving returns the number of submissions that this entry owns.
-func (j *Join) Driving() int {
+// OwnedCount returns the number of submissions that this entry owns.
+func (j *Join) OwnedCount() int {
 	return j.count(func(r *runningSubmission) bool { return r.owned })
 }
 
-// Running returns the number of submissions that run at this entry, including
+// RunningCount returns the number of submissions that run at this entry, including
 // those that it does not own.
-func (j *Join) Running() int {
+func (j *Join) RunningCount() int {
 	return j.count(func(*runningSubmission) bool { return true })
 }
 
--- a/internal/pipeline/join_test.go
+++ b/internal/pipeline/join_test.go
@@ -59,7 +59,7 @@
 		qt.Assert(t, (<-answers).Outcome, qt.Equals, job.Complete)
 		qt.Assert(t, (<-answers).Outcome, qt.Equals, job.Complete)
 		qt.Assert(t, end.calls.Load(), qt.Equals, int64(1))
-		qt.Assert(t, join.Running(), qt.Equals, 0)
+		qt.Assert(t, join.RunningCount(), qt.Equals, 0)
 	})
 }
 
--- a/internal/pipeline/record.go
+++ b/internal/pipeline/record.go
@@ -32,7 +32,7 @@
 		Took:       time.Since(f.Submission.Received),
 		Ideal:      f.ideal(),
 	}
-	lateAfter := job.LateAfter(f.Service.Stretch, f.Service.Slack, ev.Ideal)
+	lateAfter := job.LateThreshold(f.Service.Stretch, f.Service.Slack, ev.Ideal)
 	late := a.Outcome == job.Complete && lateAfter > 0 && ev.Took > lateAfter
 	if late {
 		ev.Cause = fmt.Sprintf("%s, beyond %s", ev.Cause, lateAfter)
@@ -44,9 +44,9 @@
 	return a
 }
 
-// Refused records a refusal of a request for which no submission was created: its body was
+// RecordRefusal records a refusal of a request for which no submission was created: its body was
 // not read, or no configuration exists yet. The caller has an id for the request anyway.
-func (r *Record) Refused(a job.Answer) {
+func (r *Record) RecordRefusal(a job.Answer) {
 	r.count(&a)
 	r.Events.Record(timeline.Event{Kind: timeline.SubmissionAnswered, Submission: a.ID, Reason: a.Reason, Cause: summary(&a)})
 }
--- a/internal/pipeline/run.go
+++ b/internal/pipeline/run.go
@@ -177,7 +177,7 @@
 		fl.report("", nil)
 		return
 	}
-	if !job.Holds(fl.flow.Right) {
+	if !job.RightValid(fl.flow.Right) {
 		fl.stop(job.Failed, job.Paused, pausedDetail)
 		return
 	}
@@ -256,7 +256,7 @@
 		outcomes[i].Index = task
 	}
 	fl.mu.Lock()
-	v := fl.collector.GiveUp(outcomes)
+	v := fl.collector.Abandon(outcomes)
 	fl.mu.Unlock()
 	fl.act(v)
 }
@@ -351,7 +351,7 @@
 	fl.act(v)
 }
 
-func (fl *flight) act(v Verdict) {
+func (fl *flight) act(v Decision) {
 	if v.Finished {
 		fl.finish(v.Answer)
 		return
@@ -402,7 +402,7 @@
 	fl.mu.Unlock()
 	time.AfterFunc(withdrawTimeout, func() {
 		fl.mu.Lock()
-		v := fl.collector.Conclude()
+		v := fl.collector.ForceFinish()
 		fl.mu.Unlock()
 		fl.act(v)
 	})
--- a/internal/pipeline/stage.go
+++ b/internal/pipeline/stage.go
@@ -50,7 +50,7 @@
 	}
 	longest := f.ideal()
 	objective := f.Service.Stretch*float64(longest) + float64(f.Service.Slack)
-	return now.Sub(f.Submission.Received)+longest <= time.Duration(job.UsefulFor*objective)
+	return now.Sub(f.Submission.Received)+longest <= time.Duration(job.UsefulFactor*objective)
 }
 
 // Next hands a flow to the rest of the chain and returns its answer.
--- a/internal/pipeline/useful_test.go
+++ b/internal/pipeline/useful_test.go
@@ -45,7 +45,7 @@
 		}, nil)
 		qt.Assert(t, a.Outcome, qt.Equals, job.Refused)
 		qt.Assert(t, a.Run.Proven(), qt.IsTrue)
-		useful := job.UsefulFor * (96 + 60) * time.Millisecond
+		useful := job.UsefulFactor * (96 + 60) * time.Millisecond
 		qt.Assert(t, time.Since(begun) <= useful, qt.IsTrue, qt.Commentf("%v of %v", time.Since(begun), useful))
 	})
 }
--- a/internal/registrar/claim.go
+++ b/internal/registrar/claim.go
@@ -21,9 +21,9 @@
 
 // query is the state and the latest reply of the query to one registrar.
 type query struct {
-	state    queryState
-	standing Standing
-	held     []Record
+	state     queryState
+	certainty Certainty
+	held      []Record
 }
 
 // claim is the state of one claim on the claimant's side. It performs no I/O: from
@@ -151,7 +151,7 @@
 
 func (c *claim) recordReply(from job.EntryID, r *claimReply) {
 	q := c.query(from)
-	q.standing = r.Standing
+	q.certainty = r.Certainty
 	q.held = r.Held
 	switch {
 	case len(r.Held) == 0:
@@ -169,7 +169,7 @@
 // not yet synced, so that they are sent again.
 func (c *claim) retry() {
 	for _, q := range c.queries {
-		if q.state == queryFailed || q.state == queryGranted && q.standing == Unsynced {
+		if q.state == queryFailed || q.state == queryGranted && q.certainty == Unsynced {
 			q.state = queryUnsent
 		}
 	}
@@ -313,11 +313,11 @@
 		return claimResult{kind: resultUnknown, reason: reason}
 	}
 	granted := 0
-	standings := map[Standing]bool{}
+	certainties := map[Certainty]bool{}
 	for _, entry := range ranked {
 		if q := c.queries[entry]; q != nil && q.state == queryGranted {
 			granted++
-			standings[q.standing] = true
+			certainties[q.certainty] = true
 		}
 	}
 	switch {
@@ -325,13 +325,13 @@
 		return claimResult{kind: resultWait, reason: reason}
 	case c.attempt == 1:
 		return claimResult{kind: resultStart}
-	case standings[Lost]:
+	case certainties[Lost]:
 		return claimResult{kind: resultUnknown, reason: job.NoRegistrar}
-	case standings[Authoritative]:
+	case certainties[Authoritative]:
 		return claimResult{kind: resultStart}
-	case standings[Cold] && c.attempt == job.AttemptUnsaid:
+	case certainties[Cold] && c.attempt == job.AttemptUnknown:
 		return claimResult{kind: resultStart}
-	case standings[Cold]:
+	case certainties[Cold]:
 		return claimResult{kind: resultUnknown, reason: job.NoRegistrar}
 	}
 	return claimResult{kind: resultWait, reason: job.NoRegistrar}
--- a/internal/registrar/completeness.go
+++ b/internal/registrar/completeness.go
@@ -213,9 +213,9 @@
 	return slices.Contains(ranked[:min(replicas, len(ranked))], entry)
 }
 
-// standing returns how far a missing record on this entry proves that the id was
+// certainty returns how far a missing record on this entry proves that the id was
 // never started.
-func (m *completeness) standing(now time.Time, id job.ID) Standing {
+func (m *completeness) certainty(now time.Time, id job.ID) Certainty {
 	if !m.synced {
 		return Unsynced
 	}
--- a/internal/registrar/completeness_test.go
+++ b/internal/registrar/completeness_test.go
@@ -85,7 +85,7 @@
 		z.now = z.now.Add(time.Second)
 	}
 	lost, registrar := lostID(t, z)
-	qt.Assert(t, registrar.standing(z.now, lost), qt.Equals, Lost)
+	qt.Assert(t, registrar.certainty(z.now, lost), qt.Equals, Lost)
 	for end := z.now.Add(retain + 2*lossTolerance); z.now.Before(end); z.now = z.now.Add(time.Second) {
 		z.sync()
 	}
--- a/internal/registrar/explore_simulation_test.go
+++ b/internal/registrar/explore_simulation_test.go
@@ -217,7 +217,7 @@
 // canRetry reports whether a retry would change anything.
 func (c *claim) canRetry() bool {
 	for _, q := range c.queries {
-		if q.state == queryFailed || q.state == queryGranted && q.standing == Unsynced {
+		if q.state == queryFailed || q.state == queryGranted && q.certainty == Unsynced {
 			return true
 		}
 	}
@@ -294,14 +294,14 @@
 }
 
 func (sim *simulation) answerClaim(n *exploreNode, req *claimRequest) *claimReply {
-	standing := n.completeness.standing(exploreTime, req.ID)
-	if sim.bounds.fault == trustUnsynced && standing == Unsynced {
-		standing = Authoritative
+	certainty := n.completeness.certainty(exploreTime, req.ID)
+	if sim.bounds.fault == trustUnsynced && certainty == Unsynced {
+		certainty = Authoritative
 	}
 	if sim.bounds.fault == replaceAny {
 		n.table.records[req.ID] = nil
 	}
-	return &claimReply{Held: n.table.claim(exploreTime, req), Standing: standing}
+	return &claimReply{Held: n.table.claim(exploreTime, req), Certainty: certainty}
 }
 
 func (sim *simulation) deliver(i int) {
--- a/internal/registrar/explore_test.go
+++ b/internal/registrar/explore_test.go
@@ -246,7 +246,7 @@
 	case m.claim != nil:
 		kind = fmt.Sprint("claim ", m.claim.By.Number, len(m.claim.Replace), m.claim.Replace)
 	case m.reply != nil:
-		kind = fmt.Sprint("reply ", m.reply.Standing, recordNames(m.reply.Held))
+		kind = fmt.Sprint("reply ", m.reply.Certainty, recordNames(m.reply.Held))
 	case m.yielded != nil:
 		kind = fmt.Sprint("yielded ", m.yielded.Verdict, m.yielded.To.Entry, claimantName(m.yield))
 	case m.yield != nil:
@@ -297,7 +297,7 @@
 			fmt.Fprint(&b, " claim", c.open, c.askingRival, c.retries, c.ownedSubmission.state, c.ownedSubmission.yielded, c.result.kind, c.result.owner)
 			for _, entry := range c.claim.askedRegistrars() {
 				a := c.claim.queries[entry]
-				fmt.Fprint(&b, entry, a.state, a.standing, recordNames(a.held))
+				fmt.Fprint(&b, entry, a.state, a.certainty, recordNames(a.held))
 			}
 			fmt.Fprint(&b, c.claim.withdrawn, c.claim.redirected, c.claim.confirmed)
 		}
--- a/internal/registrar/messages.go
+++ b/internal/registrar/messages.go
@@ -6,15 +6,15 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// Standing says how far a registrar's missing record of an id proves that the id
+// Certainty says how far a registrar's missing record of an id proves that the id
 // was never started.
-type Standing uint8
+type Certainty uint8
 
-// The standings.
+// Levels of certainty.
 const (
 	// Authoritative: an id without a record was not started in the registrar's
 	// zone within the retention time of records.
-	Authoritative Standing = iota + 1
+	Authoritative Certainty = iota + 1
 	// Unsynced: the registrar has not yet received the records that others hold.
 	Unsynced
 	// Cold: the zone's records go back less than the retention time.
@@ -56,8 +56,8 @@
 // claimReply grants the claim when Held is empty. Otherwise Held contains the
 // records of all other claimants.
 type claimReply struct {
-	Held     []Record `cbor:"1,keyasint,omitempty"`
-	Standing Standing `cbor:"2,keyasint"`
+	Held      []Record  `cbor:"1,keyasint,omitempty"`
+	Certainty Certainty `cbor:"2,keyasint"`
 }
 
 // settleMessage reports to registrars how a submission ended. Without an answer,
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -243,18 +243,18 @@
 	return time.Until(r.claimsActiveUntil)
 }
 
-// answerClaim answers a claim as a registrar. It determines the standing before
+// answerClaim answers a claim as a registrar. It determines the certainty before
 // it looks up the record: if a sync completed between a lookup and a later
-// reading of the standing, an outdated "not found" would count as current.
+// reading of the certainty, an outdated "not found" would count as current.
 func (r *Registrar) answerClaim(req *claimRequest) *claimReply {
 	now := time.Now()
 	r.mu.Lock()
-	standing := r.completeness.standing(now, req.ID)
+	certainty := r.completeness.certainty(now, req.ID)
 	r.mu.Unlock()
 	s := r.shard(req.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &claimReply{Held: s.table.claim(now, req), Standing: standing}
+	return &claimReply{Held: s.table.claim(now, req), Certainty: certainty}
 }
 
 func (r *Registrar) handleClaim(_ context.Context, from job.Owner, body cbor.RawMessage) (any, error) {
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -23,7 +23,7 @@
 // receive the answer of the first run, and the job must run only once.
 func TestResubmissionGetsSameAnswer(t *testing.T) {
 	for _, other := range []job.EntryID{"a", "b", "d"} {
-		for _, attempt := range []int{1, 2, job.AttemptUnsaid} {
+		for _, attempt := range []int{1, 2, job.AttemptUnknown} {
 			if attempt == 1 && other == "d" {
 				continue // a first attempt asks only its own zone
 			}
@@ -52,7 +52,7 @@
 			for _, id := range manyIDs("id") {
 				var results []<-chan string
 				for _, entry := range at {
-					results = append(results, f.entries[entry].submitAsync(submission(id, job.AttemptUnsaid)))
+					results = append(results, f.entries[entry].submitAsync(submission(id, job.AttemptUnknown)))
 				}
 				count := map[string]int{}
 				for _, r := range results {
@@ -134,7 +134,7 @@
 		qt.Assert(t, answers[takenOver] > 0 && answers["unknown no_registrar false"] > 0, qt.IsTrue, qt.Commentf("%v", answers))
 		fresh := map[string]int{}
 		for _, id := range manyIDs("new") {
-			fresh[f.entries["b"].submit(submission(id, job.AttemptUnsaid))]++
+			fresh[f.entries["b"].submit(submission(id, job.AttemptUnknown))]++
 		}
 		qt.Assert(t, fresh[ran] > 0 && fresh[ran]+fresh["unknown no_registrar false"] == len(ids), qt.IsTrue, qt.Commentf("%v", fresh))
 		qt.Assert(t, f.entries["b"].submit(submission("first", 1)), qt.Equals, ran)
@@ -188,7 +188,7 @@
 		qt.Assert(t, f.entries["b"].submit(submission("old", 2)), qt.Equals, "unknown no_registrar false")
 		qt.Assert(t, f.entries["d"].submit(submission("old", 2)), qt.Equals, "unknown no_registrar false")
 		qt.Assert(t, f.entries["b"].submit(submission("new", 1)), qt.Equals, ran)
-		qt.Assert(t, f.entries["b"].submit(submission("unsaid", job.AttemptUnsaid)), qt.Equals, ran)
+		qt.Assert(t, f.entries["b"].submit(submission("unsaid", job.AttemptUnknown)), qt.Equals, ran)
 		f.advance(retain)
 		qt.Assert(t, f.entries["c"].submit(submission("later", 2)), qt.Equals, ran)
 		f.checkStartedOnce()
@@ -210,7 +210,7 @@
 			own := job.ID("own of " + at)
 			qt.Assert(t, f.entries[at].submit(submission(own, 1)), qt.Equals, ran)
 			qt.Assert(t, f.entries[at].submit(submission("again", 2)), qt.Equals, "unknown zone_unreachable false")
-			qt.Assert(t, f.entries[at].submit(submission("unsaid", job.AttemptUnsaid)), qt.Equals, "unknown zone_unreachable false")
+			qt.Assert(t, f.entries[at].submit(submission("unsaid", job.AttemptUnknown)), qt.Equals, "unknown zone_unreachable false")
 		}
 		qt.Assert(t, f.entries["b"].submit(submission("own of a", 2)), qt.Equals, answered)
 		qt.Assert(t, f.entries["e"].submit(submission("own of a", 2)), qt.Equals, "unknown zone_unreachable false")
@@ -287,7 +287,7 @@
 			var all []<-chan string
 			for _, id := range manyIDs("id") {
 				for at := range twoZones {
-					all = append(all, f.entries[at].submitAsync(submission(id, job.AttemptUnsaid)))
+					all = append(all, f.entries[at].submitAsync(submission(id, job.AttemptUnknown)))
 					all = append(all, f.entries[at].submitAsync(submission(id, 2)))
 				}
 			}
--- a/internal/scheduler/capacity_test.go
+++ b/internal/scheduler/capacity_test.go
@@ -28,7 +28,7 @@
 	for i := range starts {
 		if starts[i].Target == on {
 			size := starts[i].Task.Size()
-			sum += size.Millis()
+			sum += size.TotalMilliProcessors()
 		}
 	}
 	return sum
@@ -70,7 +70,7 @@
 	p.SetTarget(now, sizedTarget("t", 1000))
 	v := p.Offer(now, sizedBatch("a", 1, 14000))
 	qt.Assert(t, v.Reason, qt.Not(qt.Equals), job.Infeasible)
-	qt.Assert(t, p.Load(now).Largest.Millis(), qt.Equals, 32000)
+	qt.Assert(t, p.Load(now).Largest.TotalMilliProcessors(), qt.Equals, 32000)
 	qt.Assert(t, p.Next(now).Starts, qt.HasLen, 0)
 }
 
--- a/internal/scheduler/objective.go
+++ b/internal/scheduler/objective.go
@@ -46,7 +46,7 @@
 	need := time.Duration((1 + runTimeMargin) * float64(longest))
 	return latencyObjective{
 		latestStart:       b.arrived.Add(within - need),
-		latestUsefulStart: b.arrived.Add(job.UsefulFor*within - longest),
+		latestUsefulStart: b.arrived.Add(job.UsefulFactor*within - longest),
 	}
 }
 
--- a/internal/scheduler/objective_test.go
+++ b/internal/scheduler/objective_test.go
@@ -89,7 +89,7 @@
 }
 
 // credit is the mean value of the answers to a group's callers: 1 for an answer within
-// the objective, 0.2 for one within job.UsefulFor times the objective, 0 otherwise.
+// the objective, 0.2 for one within job.UsefulFactor times the objective, 0 otherwise.
 func credit(s *sim, group string) float64 {
 	sum, n := 0.0, 0
 	for _, a := range s.answers {
@@ -102,7 +102,7 @@
 		case a.outcome != job.Complete:
 		case a.after <= within:
 			sum++
-		case a.after <= job.UsefulFor*within:
+		case a.after <= job.UsefulFactor*within:
 			sum += 0.2
 		}
 	}
--- a/internal/scheduler/size.go
+++ b/internal/scheduler/size.go
@@ -27,7 +27,7 @@
 func (m *sizeMean) add(s job.Size) {
 	m.seen++
 	step := math.Max(sizeWeight, 1/float64(m.seen))
-	m.millis += step * (float64(s.Millis()) - m.millis)
+	m.millis += step * (float64(s.TotalMilliProcessors()) - m.millis)
 	m.memory += step * (float64(s.MemoryMB) - m.memory)
 }
 
@@ -35,7 +35,7 @@
 func (m *sizeMean) fitCount(room job.Size, limit int) int {
 	n := float64(limit)
 	if m.millis > 0 {
-		n = math.Min(n, float64(room.Millis())/m.millis)
+		n = math.Min(n, float64(room.TotalMilliProcessors())/m.millis)
 	}
 	if m.memory > 0 {
 		n = math.Min(n, float64(room.MemoryMB)/m.memory)
@@ -127,7 +127,7 @@
 	if tg.tier > ready {
 		cost++
 	}
-	freeMillis := float64(tg.Room().Minus(tg.used).Millis() - t.size.Millis())
+	freeMillis := float64(tg.Room().Minus(tg.used).TotalMilliProcessors() - t.size.TotalMilliProcessors())
 	if p.meanSize.millis > 0 {
 		gap := math.Mod(freeMillis, p.meanSize.millis) / p.meanSize.millis
 		cost += gapCost * load * gap
--- a/internal/scheduler/stats.go
+++ b/internal/scheduler/stats.go
@@ -17,7 +17,7 @@
 	l := job.HolderLoad{Pool: p.name, Targets: p.ranked.Len(), Free: free}
 	for i := range p.ranked.Len() {
 		t := p.ranked.At(i)
-		l.Largest = l.Largest.Largest(t.largestAnnounced)
+		l.Largest = l.Largest.Max(t.largestAnnounced)
 		if t.tier < slow {
 			l.Slots += p.capacityOf(t)
 		}
--- a/internal/scheduler/target.go
+++ b/internal/scheduler/target.go
@@ -65,7 +65,7 @@
 	if t.reducedSize != nil {
 		return *t.reducedSize
 	}
-	return t.Target.Room()
+	return t.Target.Capacity()
 }
 
 // canFit reports whether one more task of this size may start.
@@ -109,7 +109,7 @@
 	t.announced = announced
 	t.Target = p.withDefaults(announced)
 	t.reducedSize = nil
-	t.largestAnnounced = t.largestAnnounced.Largest(announced.Room())
+	t.largestAnnounced = t.largestAnnounced.Max(announced.Capacity())
 	// The target's count lags and includes the tasks of this pool, so it may
 	// lower the number of inherited tasks but not raise it.
 	t.inherited = min(t.inherited, max(0, announced.Running-t.running))
