--- a/internal/capacity/leases.go
+++ b/internal/capacity/leases.go
@@ -17,9 +17,9 @@
 // Platform provides a client for, and a fake of, targets that run tasks under a lease.
 type Platform struct {
 	Orders func(job.Target) runs.TargetClient
-	// StandIn returns a handler that answers like a target with the given number of
+	// FakeWorker returns a handler that answers like a target with the given number of
 	// running tasks.
-	StandIn func(runs int) (http.Handler, error)
+	FakeWorker func(runs int) (http.Handler, error)
 }
 
 // runsPerTarget is the number of tasks on a busy target, one per slot.
@@ -88,7 +88,7 @@
 
 // measureRenewalsWith measures the renewal of the leases of n runs.
 func (m *Slopes) measureRenewalsWith(p Platform, n int, minTime time.Duration) error {
-	handler, err := p.StandIn(n)
+	handler, err := p.FakeWorker(n)
 	if err != nil {
 		return errors.Trace(err)
 	}
--- a/internal/consensus/fuzz_test.go
+++ b/internal/consensus/fuzz_test.go
@@ -15,7 +15,7 @@
 func FuzzStep(f *testing.F) {
 	value := Value{Version: 1, Lineage: 1, Voters: []Voter{{"a", "a#0"}, {"b", "b#0"}, {"c", "c#0"}}}
 	next := value.Apply(configure("x", 1, "x"))
-	ballot := Ballot{Round: 1, Entry: "a", Life: 1}
+	ballot := Ballot{Round: 1, Entry: "a", Incarnation: 1}
 	proposal := &Proposal{Ballot: ballot, Command: *configure("x", 1, "x")}
 	for kind := MsgPrepare; kind <= MsgLearned; kind++ {
 		for _, m := range []Message{
--- a/internal/consensus/learner.go
+++ b/internal/consensus/learner.go
@@ -100,8 +100,8 @@
 // it: otherwise the loss of one more voter right after the repair could lose the
 // change itself.
 func (t *step) recordAck(m *Message) {
-	var open []Settlement
-	for _, s := range t.Settle {
+	var open []UnreplicatedChange
+	for _, s := range t.Unreplicated {
 		if m.Version >= s.Version && t.Chosen.Votes(m.From) && !slices.Contains(s.Acks, m.From) {
 			s.Acks = append(slices.Clone(s.Acks), m.From)
 		}
@@ -111,5 +111,5 @@
 		}
 		open = append(open, s)
 	}
-	t.Settle = open
+	t.Unreplicated = open
 }
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -45,7 +45,7 @@
 }
 
 // Input is an event at a node: one of Received, Synced, Submit, Abandon, Retry,
-// Finish, Lagging and Founded.
+// Finish, PeerAhead and GenesisKnown.
 type Input interface{ input() }
 
 // Received is the arrival of a message.
@@ -72,22 +72,22 @@
 // before its proposer died.
 type Finish struct{}
 
-// Lagging reports that this node lags behind Peer, which holds a newer version.
-type Lagging struct{ Peer job.EntryID }
+// PeerAhead reports that this node lags behind Peer, which holds a newer version.
+type PeerAhead struct{ Peer job.EntryID }
 
-// Founded names the entries that form the register, for a node that started
+// GenesisKnown names the entries that form the register, for a node that started
 // before they were known. It has an effect only once, and none after the
 // register was formed.
-type Founded struct{ Genesis []job.EntryID }
-
-func (Founded) input()  {}
-func (Received) input() {}
-func (Lagging) input()  {}
-func (Synced) input()   {}
-func (Submit) input()   {}
-func (Abandon) input()  {}
-func (Retry) input()    {}
-func (Finish) input()   {}
+type GenesisKnown struct{ Genesis []job.EntryID }
+
+func (GenesisKnown) input() {}
+func (Received) input()     {}
+func (PeerAhead) input()    {}
+func (Synced) input()       {}
+func (Submit) input()       {}
+func (Abandon) input()      {}
+func (Retry) input()        {}
+func (Finish) input()       {}
 
 // Write asks the caller to write and sync the record. A later record replaces an
 // earlier one, so of several pending writes only the last is needed.
--- a/internal/consensus/proposer.go
+++ b/internal/consensus/proposer.go
@@ -36,9 +36,9 @@
 		t.answer(token, Outcome{Kind: kind})
 		return
 	}
-	for i, s := range t.Settle {
+	for i, s := range t.Unreplicated {
 		if s.Token == token {
-			t.Settle = slices.Delete(slices.Clone(t.Settle), i, i+1)
+			t.Unreplicated = slices.Delete(slices.Clone(t.Unreplicated), i, i+1)
 			t.answer(token, Outcome{Kind: Unknown})
 			return
 		}
@@ -60,7 +60,7 @@
 	t.Round++
 	t.Attempt = &Attempt{
 		Version: t.Chosen.Version + 1,
-		Ballot:  Ballot{Round: t.Round, Entry: t.Self.Entry, Life: t.Life},
+		Ballot:  Ballot{Round: t.Round, Entry: t.Self.Entry, Incarnation: t.Incarnation},
 		Phase:   preparing,
 	}
 	t.resend("")
@@ -113,7 +113,7 @@
 }
 
 func (t *step) retry() {
-	for _, s := range t.Settle {
+	for _, s := range t.Unreplicated {
 		for _, v := range t.Chosen.Voters {
 			if !slices.Contains(s.Acks, v) {
 				t.sendLearn(v)
@@ -175,7 +175,7 @@
 			i := slices.IndexFunc(a.Promises, func(p Promise) bool { return p.From.Entry == name })
 			voters = append(voters, a.Promises[i].From)
 		}
-		return Command{Kind: Form, Lineage: t.Life, Voters: voters}, true
+		return Command{Kind: Form, Lineage: t.Incarnation, Voters: voters}, true
 	}
 	return t.nextCommand()
 }
@@ -208,8 +208,8 @@
 }
 
 func (t *step) awaitReplication(r Request) {
-	s := Settlement{Token: r.Token, Version: t.Chosen.Version, New: r.Command.New}
-	t.Settle = append(slices.Clone(t.Settle), s)
+	s := UnreplicatedChange{Token: r.Token, Version: t.Chosen.Version, New: r.Command.New}
+	t.Unreplicated = append(slices.Clone(t.Unreplicated), s)
 	for _, v := range t.Chosen.Voters {
 		t.sendLearn(v)
 	}
--- a/internal/consensus/state.go
+++ b/internal/consensus/state.go
@@ -11,10 +11,10 @@
 type Ballot struct {
 	Round uint64      `cbor:"1,keyasint"`
 	Entry job.EntryID `cbor:"2,keyasint"`
-	// Life is the incarnation of the proposing process, drawn at random at each
+	// Incarnation is that of the proposing process, drawn at random at each
 	// start. Without it, a voter that crashed before its own promise was synced
 	// could use one ballot for two values.
-	Life uint64 `cbor:"3,keyasint"`
+	Incarnation uint64 `cbor:"3,keyasint"`
 }
 
 // Less orders ballots.
@@ -25,7 +25,7 @@
 	if b.Entry != c.Entry {
 		return strings.Compare(string(b.Entry), string(c.Entry)) < 0
 	}
-	return b.Life < c.Life
+	return b.Incarnation < c.Incarnation
 }
 
 // Proposal is a command under a ballot.
@@ -82,9 +82,9 @@
 	Accepts  []Voter
 }
 
-// Settlement is a chosen membership change that is not yet answered: it waits
+// UnreplicatedChange is a chosen membership change that is not yet answered: it waits
 // until enough voters hold it for the loss of one more voter to be safe.
-type Settlement struct {
+type UnreplicatedChange struct {
 	Token   Token
 	Version uint64
 	New     Voter
@@ -103,13 +103,13 @@
 	Record
 	// Genesis are the entries that form the register, sorted.
 	Genesis []job.EntryID
-	// Life is the incarnation, drawn at random for each start.
-	Life uint64
+	// Incarnation is drawn at random for each start.
+	Incarnation uint64
 	// Round is the highest ballot round seen.
-	Round   uint64
-	Queue   []Request
-	Attempt *Attempt
-	Settle  []Settlement
+	Round        uint64
+	Queue        []Request
+	Attempt      *Attempt
+	Unreplicated []UnreplicatedChange
 	// Issued and Done are the sequence numbers of the last write issued and
 	// the last write completed.
 	Issued uint64
@@ -118,11 +118,11 @@
 }
 
 // Start returns the state of a node that resumes from a record.
-func Start(r Record, genesis []job.EntryID, life uint64) State {
+func Start(r Record, genesis []job.EntryID, incarnation uint64) State {
 	names := slices.Clone(genesis)
 	slices.Sort(names)
 	round := r.Promised.Round
-	return State{Record: r, Genesis: slices.Compact(names), Life: life, Round: round}
+	return State{Record: r, Genesis: slices.Compact(names), Incarnation: incarnation, Round: round}
 }
 
 // Voting reports whether the node's votes count for the version being decided.
@@ -136,7 +136,7 @@
 // Busy reports whether the node waits for other nodes. While it does, the caller
 // must pass it a Retry periodically.
 func (s *State) Busy() bool {
-	return s.Attempt != nil || len(s.Queue) > 0 || len(s.Settle) > 0
+	return s.Attempt != nil || len(s.Queue) > 0 || len(s.Unreplicated) > 0
 }
 
 // countsVote reports whether a vote of v counts for the version being decided. The
--- a/internal/consensus/step.go
+++ b/internal/consensus/step.go
@@ -31,9 +31,9 @@
 		t.abandon(in.Token)
 	case Retry:
 		t.retry()
-	case Lagging:
+	case PeerAhead:
 		t.send(t.message(MsgFetch, in.Peer))
-	case Founded:
+	case GenesisKnown:
 		t.setGenesis(in.Genesis)
 	case Finish:
 		if t.Accepted != nil || t.Chosen.Version == 0 {
--- a/internal/consensus/value_test.go
+++ b/internal/consensus/value_test.go
@@ -80,7 +80,7 @@
 func TestStalledDiskHoldsEachReplyOnce(t *testing.T) {
 	value := Value{Version: 1, Lineage: 1, Voters: []Voter{{"a", "a#0"}, {"b", "b#0"}, {"c", "c#0"}}}
 	s := Start(Record{Self: value.Voters[0], Chosen: value}, nil, 1)
-	prepare := Message{Kind: MsgPrepare, From: value.Voters[1], To: "a", Version: 2, Ballot: Ballot{Round: 1, Entry: "b", Life: 2}}
+	prepare := Message{Kind: MsgPrepare, From: value.Voters[1], To: "a", Version: 2, Ballot: Ballot{Round: 1, Entry: "b", Incarnation: 2}}
 	for range 100 {
 		var out Output
 		s, out = Step(s, Received{prepare})
@@ -126,7 +126,7 @@
 // entry name must not vote.
 func TestUnknownDiskDoesNotVote(t *testing.T) {
 	value := Value{Version: 1, Lineage: 1, Voters: []Voter{{"a", "a#0"}, {"b", "b#0"}, {"c", "c#0"}}}
-	prepare := Message{Kind: MsgPrepare, From: value.Voters[0], To: "b", Version: 2, Ballot: Ballot{Round: 1, Entry: "a", Life: 1}}
+	prepare := Message{Kind: MsgPrepare, From: value.Voters[0], To: "b", Version: 2, Ballot: Ballot{Round: 1, Entry: "a", Incarnation: 1}}
 	for identity, replies := range map[Identity]int{"b#0": 1, "b#1": 0} {
 		s := Start(Record{Self: Voter{"b", identity}, Chosen: value}, nil, 1)
 		s, out := Step(s, Received{prepare})
--- a/internal/explore/power.go
+++ b/internal/explore/power.go
@@ -9,7 +9,7 @@
 
 // losePower visits the worlds that may follow a power loss at all nodes: each node
 // restarts from its last completed write or from one of its pending writes, and up
-// to Wiped nodes lose their disks.
+// to LostDisksPerPowerLoss nodes lose their disks.
 func (m *Voters) losePower(w World, visit func(string, World)) {
 	m.restartAll(w, 0, 0, "all lose power", func(action string, to World) {
 		to.powerLosses++
@@ -24,20 +24,20 @@
 
 // restartAll restarts the nodes from the given one on, in every possible
 // combination of records and lost disks.
-func (m *Voters) restartAll(w World, node, wiped int, action string, visit func(string, World)) {
+func (m *Voters) restartAll(w World, node, lostDisks int, action string, visit func(string, World)) {
 	if node == len(m.Names) {
 		visit(action, w)
 		return
 	}
 	n := m.nodes.values[w.nodes[node]]
-	m.restartAll(m.restarted(w, node, n.Disk, false), node+1, wiped, action, visit)
+	m.restartAll(m.restarted(w, node, n.Disk, false), node+1, lostDisks, action, visit)
 	for _, p := range n.Pending {
 		kept := fmt.Sprintf("%s, %s keeps write %d", action, m.Names[node], p.Seq)
-		m.restartAll(m.restarted(w, node, p.Record, false), node+1, wiped, kept, visit)
+		m.restartAll(m.restarted(w, node, p.Record, false), node+1, lostDisks, kept, visit)
 	}
-	if wiped < m.Wiped {
+	if lostDisks < m.LostDisksPerPowerLoss {
 		lost := fmt.Sprintf("%s, %s loses its disk", action, m.Names[node])
-		m.restartAll(m.restarted(w, node, m.emptyRecord(node, &n), true), node+1, wiped+1, lost, visit)
+		m.restartAll(m.restarted(w, node, m.emptyRecord(node, &n), true), node+1, lostDisks+1, lost, visit)
 	}
 }
 
--- a/internal/explore/random_test.go
+++ b/internal/explore/random_test.go
@@ -69,7 +69,7 @@
 	seen := map[string]bool{}
 	rapid.Check(t, func(t *rapid.T) {
 		m := three(40, add("e", 0, 1), configure("x", 2, 0, 2), replace("d", "f", 0, 1, 2), configure("y", 3, 2, 4))
-		m.Names, m.Genesis, m.Crashes, m.Wiped = names[:6], 4, 3, 2
+		m.Names, m.Genesis, m.Crashes, m.LostDisksPerPowerLoss = names[:6], 4, 3, 2
 		m.SyncAtOnce = rapid.Bool().Draw(t, "sync at once")
 		r, w := drawRand(t), m.Initial()[0]
 		for range walks {
--- a/internal/explore/voters.go
+++ b/internal/explore/voters.go
@@ -20,8 +20,8 @@
 type Operator struct {
 	Command consensus.Command
 	At      []int
-	// GivesUp lets the operator abandon a submission at any time.
-	GivesUp bool
+	// Abandons lets the operator abandon a submission at any time.
+	Abandons bool
 }
 
 // Voters is a model of the nodes of package consensus, with their disks and a
@@ -43,12 +43,12 @@
 	// crashes, the number of lost disks and the highest ballot round.
 	Crashes, Losses int
 	MaxRound        uint64
-	// Blackouts is how often all nodes lose power at once, and Wiped the maximum
+	// PowerLosses is how often all nodes lose power at once, and LostDisksPerPowerLoss the maximum
 	// number of disks lost each time.
-	Blackouts, Wiped int
-	// EndsDark ends each run at the last power loss: the remaining nodes are only
+	PowerLosses, LostDisksPerPowerLoss int
+	// EndsAtPowerLoss ends each run at the last power loss: the remaining nodes are only
 	// checked for recovery.
-	EndsDark bool
+	EndsAtPowerLoss bool
 	// SyncAtOnce completes each write in the step that issued it, which leaves out
 	// the crashes between issue and completion.
 	SyncAtOnce bool
@@ -61,9 +61,9 @@
 	OnRestart func(found consensus.Record, before consensus.State, lost bool) consensus.Record
 	// EarlySend sends messages before the write that they depend on is complete.
 	EarlySend bool
-	// OneLife gives all incarnations of a node the same number, so that a restart
+	// SameIncarnation gives all incarnations of a node the same number, so that a restart
 	// reuses earlier ballots.
-	OneLife bool
+	SameIncarnation bool
 
 	nodes        interner[nodeState]
 	messages     interner[consensus.Message]
@@ -192,7 +192,7 @@
 }
 
 func (m *Voters) incarnationOf(node int, incarnation uint64) uint64 {
-	if m.OneLife {
+	if m.SameIncarnation {
 		incarnation = 0
 	}
 	return uint64(node+1)*100 + incarnation
@@ -266,9 +266,9 @@
 // choices returns the possible actions; some of them may have no effect.
 func (m *Voters) choices(w World) []choice {
 	var out []choice
-	if int(w.powerLosses) < m.Blackouts {
+	if int(w.powerLosses) < m.PowerLosses {
 		out = append(out, choice{0, inputPower})
-	} else if m.EndsDark && m.Blackouts > 0 {
+	} else if m.EndsAtPowerLoss && m.PowerLosses > 0 {
 		return nil
 	}
 	for i := 0; i+1 < len(w.net); i += 2 {
@@ -296,7 +296,7 @@
 		if int(h.Submitted[o]) < len(op.At) {
 			out = append(out, choice{op.At[h.Submitted[o]], inputSubmit + uint64(o)})
 		}
-		if op.GivesUp && h.Submitted[o] > 0 {
+		if op.Abandons && h.Submitted[o] > 0 {
 			out = append(out, choice{op.At[h.Submitted[o]-1], inputAbandon + uint64(o)})
 		}
 	}
@@ -330,7 +330,7 @@
 	case input < inputSync:
 		msg := &m.messages.values[input]
 		return fmt.Sprintf("%s receives %s from %s: version %d ballot %d/%s/%d", name, kindNames[msg.Kind],
-			msg.From.Identity, msg.Version, msg.Ballot.Round, msg.Ballot.Entry, msg.Ballot.Life)
+			msg.From.Identity, msg.Version, msg.Ballot.Round, msg.Ballot.Entry, msg.Ballot.Incarnation)
 	case input == inputSync:
 		return fmt.Sprintf("%s completes its writes", name)
 	case input == inputRetry:
@@ -374,7 +374,7 @@
 // prune removes obsolete messages from net. It checks only messages to the changed
 // node and messages that are not yet in the network of w.
 func (m *Voters) prune(w *World, changed int, net string) string {
-	lossless := int(w.losses) == m.Losses && (m.Wiped == 0 || m.EndsDark || int(w.powerLosses) == m.Blackouts)
+	lossless := int(w.losses) == m.Losses && (m.LostDisksPerPowerLoss == 0 || m.EndsAtPowerLoss || int(w.powerLosses) == m.PowerLosses)
 	var kept []byte
 	for i := 0; i+1 < len(net); i += 2 {
 		number := uint16(net[i]) | uint16(net[i+1])<<8
--- a/internal/explore/voters_test.go
+++ b/internal/explore/voters_test.go
@@ -43,7 +43,7 @@
 }
 
 func abandoning(o Operator) Operator {
-	o.GivesUp = true
+	o.Abandons = true
 	return o
 }
 
@@ -57,17 +57,17 @@
 	return m
 }
 
-// withPowerLoss lets all nodes lose power once, with up to wiped disks lost.
-func (m *Voters) withPowerLoss(wiped int) *Voters {
-	m.Blackouts, m.Wiped = 1, wiped
+// withPowerLoss lets all nodes lose power once, with up to lostDisks disks lost.
+func (m *Voters) withPowerLoss(lostDisks int) *Voters {
+	m.PowerLosses, m.LostDisksPerPowerLoss = 1, lostDisks
 	return m
 }
 
 // endWithPowerLoss is withPowerLoss for runs that end there: the remaining nodes
 // are only checked for recovery.
-func (m *Voters) endWithPowerLoss(wiped int) *Voters {
-	m.EndsDark = true
-	return m.withPowerLoss(wiped)
+func (m *Voters) endWithPowerLoss(lostDisks int) *Voters {
+	m.EndsAtPowerLoss = true
+	return m.withPowerLoss(lostDisks)
 }
 
 // size determines when a scenario runs.
@@ -135,7 +135,7 @@
 		return three(1, configure("x", 2, 0), configure("y", 3, 0)).endWithPowerLoss(1)
 	}, []string{"0: accepted", "1: accepted"}},
 	{"all power lost twice, each time with one disk", notUnderRace, func() *Voters {
-		return three(1, configure("x", 2, 0)).withPowerLoss(1).with(func(m *Voters) { m.Blackouts = 2 })
+		return three(1, configure("x", 2, 0)).withPowerLoss(1).with(func(m *Voters) { m.PowerLosses = 2 })
 	}, []string{"0: accepted"}},
 	{"all power and a disk lost during or after a replacement", notUnderRace, func() *Voters {
 		return three(1, replace("c", "c", 1, 0)).with(func(m *Voters) { m.Losses = 1 }).endWithPowerLoss(1)
@@ -199,10 +199,10 @@
 // answeredEarly answers a membership change as soon as it is chosen.
 func answeredEarly(step Stepper, s consensus.State, in consensus.Input) (consensus.State, consensus.Output) {
 	s, out := step(s, in)
-	for _, w := range s.Settle {
+	for _, w := range s.Unreplicated {
 		out.Answers = append(out.Answers, consensus.Answer{Token: w.Token, Outcome: consensus.Outcome{Kind: consensus.Accepted}})
 	}
-	s.Settle = nil
+	s.Unreplicated = nil
 	return s, out
 }
 
@@ -321,7 +321,7 @@
 	}, "reads number 0, though 2 was acknowledged"},
 	{"a restart reuses its old ballots", notUnderRace, func() *Voters {
 		return three(1, configure("x", 2, 0), configure("y", 2, 0)).with(func(m *Voters) {
-			m.SyncAtOnce, m.OneLife, m.Crashes = false, true, 1
+			m.SyncAtOnce, m.SameIncarnation, m.Crashes = false, true, 1
 		})
 	}, "two values of version 2"},
 }
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -110,7 +110,7 @@
 		}
 		k.open[r.ID] = o
 		k.openBytes += o.bytes
-	case storage.RecordHanded:
+	case storage.RecordDispatched:
 		for _, task := range r.Tasks {
 			if o := k.open[r.ID]; o != nil {
 				o.granted[task] = true
@@ -215,7 +215,7 @@
 	for _, task := range tasks {
 		o.granted[task] = true
 	}
-	return k.appendLog(ctx, storage.Record{Kind: storage.RecordHanded, ID: id, Tasks: tasks})
+	return k.appendLog(ctx, storage.Record{Kind: storage.RecordDispatched, ID: id, Tasks: tasks})
 }
 
 // Finish stores the answer for a caller that asks again. A submission that provably
--- a/internal/register/fault_test.go
+++ b/internal/register/fault_test.go
@@ -222,14 +222,14 @@
 // unknown or that nothing was accepted, and the fleet must resume once there is space.
 func TestFullDisksAcknowledgeNothing(t *testing.T) {
 	withFormedFleet(t, 3, 1, func(t *testing.T, f *fleet) {
-		f.nodes["v1"].fs.Fill(true)
-		f.nodes["v2"].fs.Fill(true)
+		f.nodes["v1"].fs.SetFull(true)
+		f.nodes["v2"].fs.SetFull(true)
 		_, err := f.apply("v3", "two", fileOf(2, "two"))
 		qt.Assert(t, errors.Is(err, ErrUnavailable) || errors.Is(err, ErrUnknown), qt.IsTrue, qt.Commentf("%v", err))
 		qt.Assert(t, f.nodes["v1"].State().Problem, qt.Matches, ".*no space left.*")
 		f.assertInEffect(1, time.Second, f.entries...)
-		f.nodes["v1"].fs.Fill(false)
-		f.nodes["v2"].fs.Fill(false)
+		f.nodes["v1"].fs.SetFull(false)
+		f.nodes["v2"].fs.SetFull(false)
 		time.Sleep(5 * time.Second)
 		f.mustApply("l1", 3)
 		f.assertInEffect(3, 2*time.Second, f.entries...)
@@ -317,12 +317,12 @@
 // otherwise it would serve callers with old quotas until an operator intervenes.
 func TestFullDiskStillFollows(t *testing.T) {
 	withFormedFleet(t, 3, 0, func(t *testing.T, f *fleet) {
-		f.nodes["v3"].fs.Fill(true)
+		f.nodes["v3"].fs.SetFull(true)
 		f.mustApply("v1", 2)
 		f.assertInEffect(2, 5*time.Second, f.entries...)
 		f.mustApply("v2", 3)
 		f.assertInEffect(3, 5*time.Second, f.entries...)
-		f.nodes["v3"].fs.Fill(false)
+		f.nodes["v3"].fs.SetFull(false)
 		time.Sleep(5 * time.Second)
 		m := f.start("v3", f.crash("v3", storagetest.KeepNone))
 		qt.Assert(t, m.Current().Number, qt.Equals, uint64(3), qt.Commentf("written once there was space, without another change"))
--- a/internal/register/node.go
+++ b/internal/register/node.go
@@ -209,7 +209,7 @@
 	}
 	if genesis := r.opts.InitialVoters(); len(genesis) > 0 {
 		r.log.Info("initial voters known", "entries", genesis)
-		r.step(consensus.Founded{Genesis: genesis})
+		r.step(consensus.GenesisKnown{Genesis: genesis})
 	}
 	return true
 }
--- a/internal/register/propagation.go
+++ b/internal/register/propagation.go
@@ -74,7 +74,7 @@
 	if r.diskUsable() && answer.Self.Identity != "" {
 		// The complete value follows in a message and takes effect when it is
 		// synced, so that a crash can't bring back the old one.
-		r.step(consensus.Lagging{Peer: from})
+		r.step(consensus.PeerAhead{Peer: from})
 		return
 	}
 	r.installAndAnnounce(answer.Newer)
--- a/internal/storage/liveset.go
+++ b/internal/storage/liveset.go
@@ -47,7 +47,7 @@
 	}
 	entry := e.Value.(*liveEntry)
 	switch r.Kind {
-	case RecordHanded:
+	case RecordDispatched:
 		entry.handed = append(entry.handed, r.Tasks...)
 		s.bytes += 8 * len(r.Tasks)
 	case RecordFinished:
@@ -105,7 +105,7 @@
 		}
 		out = append(out, entry.accepted)
 		if len(entry.handed) > 0 {
-			out = append(out, Record{Kind: RecordHanded, ID: entry.accepted.ID, Tasks: slices.Clone(entry.handed)})
+			out = append(out, Record{Kind: RecordDispatched, ID: entry.accepted.ID, Tasks: slices.Clone(entry.handed)})
 		}
 	}
 	return out
--- a/internal/storage/storagetest/fs.go
+++ b/internal/storage/storagetest/fs.go
@@ -77,8 +77,8 @@
 	f.failAt = f.ops + n
 }
 
-// Fill(true) makes every write fail with ENOSPC until Fill(false).
-func (f *FS) Fill(full bool) {
+// SetFull(true) makes every write fail with ENOSPC until SetFull(false).
+func (f *FS) SetFull(full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.full = full
--- a/internal/storage/submissions.go
+++ b/internal/storage/submissions.go
@@ -26,10 +26,10 @@
 const (
 	// RecordAccepted holds the whole submission.
 	RecordAccepted RecordKind = 1
-	// RecordHanded names tasks that are about to be sent to targets. It must be in
+	// RecordDispatched names tasks that are about to be sent to targets. It must be in
 	// the log before any of them is sent: after a crash, only tasks that no record
 	// names may start.
-	RecordHanded RecordKind = 2
+	RecordDispatched RecordKind = 2
 	// RecordFinished holds the answer. It is kept for a caller that asks for it later.
 	RecordFinished RecordKind = 3
 	// RecordForgotten means that the answer will not be requested any more.
@@ -120,7 +120,7 @@
 
 // Replay returns the records that are kept, unfinished submissions in order of
 // acceptance and finished ones in order of finishing: for an unfinished submission
-// its RecordAccepted and, if tasks were sent to targets, one RecordHanded with all
+// its RecordAccepted and, if tasks were sent to targets, one RecordDispatched with all
 // of them; for a finished one its RecordFinished.
 func (l *SubmissionLog) Replay() []Record {
 	l.mu.Lock()
--- a/internal/storage/submissions_test.go
+++ b/internal/storage/submissions_test.go
@@ -35,7 +35,7 @@
 }
 
 func handed(id string, tasks ...int) storage.Record {
-	return storage.Record{Kind: storage.RecordHanded, ID: job.ID(id), Tasks: tasks}
+	return storage.Record{Kind: storage.RecordDispatched, ID: job.ID(id), Tasks: tasks}
 }
 
 func finished(id, body string) storage.Record {
@@ -131,11 +131,11 @@
 	fs := &storagetest.FS{}
 	l := openLog(t, fs)
 	qt.Assert(t, l.Append(context.Background(), accepted("a", "x")), qt.IsNil)
-	fs.Fill(true)
+	fs.SetFull(true)
 	for range 3 {
 		qt.Assert(t, l.Append(context.Background(), accepted("b", "x")), qt.IsNotNil)
 	}
-	fs.Fill(false)
+	fs.SetFull(false)
 	qt.Assert(t, l.Append(context.Background(), accepted("c", "x")), qt.IsNil)
 	qt.Assert(t, l.Close(), qt.IsNil)
 	l = openLog(t, fs.Restart(storagetest.KeepNone))
