--- a/cmd/vanillagrade/main.go
+++ b/cmd/vanillagrade/main.go
@@ -111,7 +111,7 @@
 		}
 	}
 	lines := eventlog.NewWriter(out)
-	slog.SetDefault(slog.New(eventlog.Limit(slog.NewJSONHandler(lines, &slog.HandlerOptions{Level: level}))))
+	slog.SetDefault(slog.New(eventlog.NewLimitHandler(slog.NewJSONHandler(lines, &slog.HandlerOptions{Level: level}))))
 	return lines
 }
 
--- a/internal/entry/announced.go
+++ b/internal/entry/announced.go
@@ -39,7 +39,7 @@
 // countMalformed counts err as a malformed announcement unless it is nil, and returns it.
 func (t *targets) countMalformed(err error) error {
 	if err != nil {
-		t.malformed.Note(time.Now(), malformed.Announcement, err)
+		t.malformed.Record(time.Now(), malformed.Announcement, err)
 	}
 	return err
 }
--- a/internal/entry/rights.go
+++ b/internal/entry/rights.go
@@ -187,5 +187,5 @@
 // proof that the owner was alive.
 func (e *Entry) recordOwnerLost(owner job.Owner, age time.Duration) {
 	cause := fmt.Sprintf("no proof of its life %d for %d ms; its transient work here is stopped", owner.Incarnation, age.Milliseconds())
-	e.events.Record(timeline.Event{Kind: timeline.OwnerSilent, Peer: owner.Entry, Took: age, Reason: job.OwnerLost, Cause: cause})
+	e.events.Record(timeline.Event{Kind: timeline.OwnerUnresponsive, Peer: owner.Entry, Took: age, Reason: job.OwnerLost, Cause: cause})
 }
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -284,7 +284,7 @@
 		return
 	}
 	removeFromHolder(id)
-	t.events.Record(timeline.Event{Kind: timeline.TargetLeaving, Target: id, Cause: "the target withdrew"})
+	t.events.Record(timeline.Event{Kind: timeline.TargetStopping, Target: id, Cause: "the target withdrew"})
 }
 
 // transferTimeout bounds the transfer of one target to its new holder; the target's
@@ -355,6 +355,6 @@
 		t.mu.Lock()
 		delete(t.transfers, expired.ID)
 		t.mu.Unlock()
-		t.events.Record(timeline.Event{Kind: timeline.TargetLapsed, Target: expired.ID, Cause: "its lease expired without a renewal"})
+		t.events.Record(timeline.Event{Kind: timeline.TargetExpired, Target: expired.ID, Cause: "its lease expired without a renewal"})
 	}
 }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -267,7 +267,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		out := &blockingBuffer{}
 		w := NewWriter(out)
-		log := slog.New(Limit(slog.NewJSONHandler(w, nil))).With("entry", "e")
+		log := slog.New(NewLimitHandler(slog.NewJSONHandler(w, nil))).With("entry", "e")
 		s := New(timeline.Discard{}, log)
 		for i := range 300 {
 			log.Info("entry found", "peer", i)
--- a/internal/eventlog/limit.go
+++ b/internal/eventlog/limit.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Limit returns a handler that writes at most fleetLines lines of each message per
+// NewLimitHandler returns a handler that writes at most fleetLines lines of each message per
 // second, or failureLines for warnings and errors, and logs how many it left out.
 //
 // Some parts of a process log directly what concerns no request: members that join and
 // leave, links, unresponsive targets. Each of these is rare, but they come all at once
 // when a zone is partitioned or a fleet of hundreds starts. Then they must not crowd
 // out the lines about requests.
-func Limit(next slog.Handler) slog.Handler {
+func NewLimitHandler(next slog.Handler) slog.Handler {
 	return &limitedHandler{next: next, budget: &messageBudget{written: map[string]int{}, leftOutByMessage: map[string]int{}}}
 }
 
--- a/internal/malformed/malformed.go
+++ b/internal/malformed/malformed.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// LogEvery is the minimum interval between log lines of one kind. A problem is seen
+// LogInterval is the minimum interval between log lines of one kind. A problem is seen
 // while it lasts, and one line of each kind every ten seconds costs next to nothing.
-const LogEvery = 10 * time.Second
+const LogInterval = 10 * time.Second
 
 // Kind is the kind of a malformed message.
 type Kind string
@@ -51,20 +51,20 @@
 	return &Tally{log: log, kinds: map[Kind]*kindCount{}}
 }
 
-// Note counts a malformed message. It also logs the message unless another one of the
-// kind was logged less than LogEvery ago. The next line of the kind says how many
+// Record counts a malformed message. It also logs the message unless another one of the
+// kind was logged less than LogInterval ago. The next line of the kind says how many
 // messages were not logged.
-func (t *Tally) Note(now time.Time, kind Kind, err error) {
+func (t *Tally) Record(now time.Time, kind Kind, err error) {
 	if t == nil {
 		return
 	}
-	suppressed, shouldLog := t.record(now, kind)
+	suppressed, shouldLog := t.count(now, kind)
 	if shouldLog {
 		t.log.Warn("malformed input ignored", "kind", string(kind), "error", err.Error(), "untold_before", suppressed)
 	}
 }
 
-func (t *Tally) record(now time.Time, kind Kind) (suppressed uint64, shouldLog bool) {
+func (t *Tally) count(now time.Time, kind Kind) (suppressed uint64, shouldLog bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.kinds[kind]
@@ -73,7 +73,7 @@
 		t.kinds[kind] = c
 	}
 	c.total++
-	if !c.lastLogged.IsZero() && now.Sub(c.lastLogged) < LogEvery {
+	if !c.lastLogged.IsZero() && now.Sub(c.lastLogged) < LogInterval {
 		c.suppressed++
 		return 0, false
 	}
--- a/internal/malformed/malformed_test.go
+++ b/internal/malformed/malformed_test.go
@@ -18,21 +18,21 @@
 	tally := New(slog.New(slog.NewTextHandler(&text, nil)))
 	start := time.Unix(1000, 0)
 	for i := range 1000 {
-		tally.Note(start.Add(time.Duration(i)*LogEvery/1000), Announcement, errors.New("no address"))
+		tally.Record(start.Add(time.Duration(i)*LogInterval/1000), Announcement, errors.New("no address"))
 	}
 	qt.Assert(t, tally.Total(Announcement), qt.Equals, uint64(1000))
 	qt.Assert(t, tally.Total(Row), qt.Equals, uint64(0))
 	qt.Assert(t, strings.Count(text.String(), "\n"), qt.Equals, 1)
 	qt.Assert(t, strings.Contains(text.String(), "no address"), qt.IsTrue)
-	tally.Note(start.Add(LogEvery), Announcement, errors.New("no zone"))
+	tally.Record(start.Add(LogInterval), Announcement, errors.New("no zone"))
 	qt.Assert(t, strings.Contains(text.String(), "untold_before=999"), qt.IsTrue)
-	tally.Note(start.Add(LogEvery), Row, errors.New("no task"))
+	tally.Record(start.Add(LogInterval), Row, errors.New("no task"))
 	qt.Assert(t, strings.Count(text.String(), "\n"), qt.Equals, 3)
 }
 
 // Components without a tally must work.
 func TestNilTallyIsUsable(t *testing.T) {
 	var none *Tally
-	none.Note(time.Now(), Row, errors.New("x"))
+	none.Record(time.Now(), Row, errors.New("x"))
 	qt.Assert(t, none.Total(Row), qt.Equals, uint64(0))
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -35,13 +35,13 @@
 
 // histogramNames maps each event kind whose duration is measured to its histogram.
 var histogramNames = map[timeline.Kind]string{
-	timeline.SubmissionAnswered: "vanillagrade_answer_seconds",
-	timeline.TaskStarted:        "vanillagrade_task_queue_seconds",
-	timeline.BatchOffered:       "vanillagrade_placement_seconds",
-	timeline.RunAccepted:        "vanillagrade_start_seconds",
-	timeline.TaskEnded:          "vanillagrade_task_run_seconds",
-	timeline.BatchReported:      "vanillagrade_report_seconds",
-	timeline.ConfigurationSet:   "vanillagrade_configuration_seconds",
+	timeline.SubmissionAnswered:    "vanillagrade_answer_seconds",
+	timeline.TaskStarted:           "vanillagrade_task_queue_seconds",
+	timeline.BatchOffered:          "vanillagrade_placement_seconds",
+	timeline.RunAccepted:           "vanillagrade_start_seconds",
+	timeline.TaskEnded:             "vanillagrade_task_run_seconds",
+	timeline.BatchReported:         "vanillagrade_report_seconds",
+	timeline.ConfigurationInEffect: "vanillagrade_configuration_seconds",
 }
 
 // stretchName is the name of the histogram of the stretch of complete answers: the time
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -44,7 +44,7 @@
 	s := New(&forwarded)
 	for _, kind := range []timeline.Kind{
 		timeline.BatchOffered, timeline.TaskStarted, timeline.RunAccepted, timeline.TaskEnded,
-		timeline.BatchReported, timeline.SubmissionAnswered, timeline.ConfigurationSet,
+		timeline.BatchReported, timeline.SubmissionAnswered, timeline.ConfigurationInEffect,
 	} {
 		s.Record(timeline.Event{Kind: kind, Took: 50 * time.Millisecond, Ideal: 25 * time.Millisecond})
 	}
--- a/internal/register/apply.go
+++ b/internal/register/apply.go
@@ -73,7 +73,7 @@
 	}
 	change := consensus.Change{ID: changeID, Number: file.Number, Digest: consensus.DigestOf(body)}
 	r.events.Record(timeline.Event{
-		Kind:  timeline.ConfigurationTry,
+		Kind:  timeline.ConfigurationProposed,
 		Cause: fmt.Sprintf("number %d, digest %s, change %s", change.Number, change.Digest, change.ID),
 	})
 	accepted, err := r.execute(ctx, consensus.Command{
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -282,7 +282,7 @@
 		return
 	}
 	r.log.Info("configuration in force", "number", s.Change.Number, "digest", s.Change.Digest.String())
-	r.events.Record(timeline.Event{Kind: timeline.ConfigurationSet, Cause: s.describe(), Took: s.propagationTime()})
+	r.events.Record(timeline.Event{Kind: timeline.ConfigurationInEffect, Cause: s.describe(), Took: s.propagationTime()})
 	for _, f := range r.watchers {
 		f(previous, s.file)
 	}
--- a/internal/registrar/drive.go
+++ b/internal/registrar/drive.go
@@ -245,7 +245,7 @@
 		d.Held = r.opts.Fetch(ctx, lost, sub.ID)
 	}
 	r.opts.Events.Record(timeline.Event{
-		Kind: timeline.SubmissionTaken, Submission: sub.ID, Peer: lost.Entry, Count: len(d.Held),
+		Kind: timeline.SubmissionTakenOver, Submission: sub.ID, Peer: lost.Entry, Count: len(d.Held),
 		Reason: job.OwnerLost, Cause: "its owner is lost; no task is started again",
 	})
 	return d
--- a/internal/runs/events_test.go
+++ b/internal/runs/events_test.go
@@ -57,7 +57,7 @@
 		// counted.
 		qt.Assert(t, later.all(), qt.DeepEquals, []timeline.Kind{
 			timeline.TargetTaken, timeline.RunAccepted,
-			timeline.LeaseRenewed, timeline.LeaseRenewed, timeline.LeaseRenewed, timeline.LeaseRunOut,
+			timeline.LeaseRenewed, timeline.LeaseRenewed, timeline.LeaseRenewed, timeline.LeaseExpired,
 		})
 		w.set(func() { w.unresponsive = false })
 		first.Close()
--- a/internal/runs/poll.go
+++ b/internal/runs/poll.go
@@ -209,7 +209,7 @@
 	if now.Before(s.leaseExpiry) || len(s.runs) == 0 {
 		return
 	}
-	s.record(timeline.LeaseRunOut, "the target is silent, and its last lease of epoch %d has ended by any clock; %d runs", s.epoch, len(s.runs))
+	s.record(timeline.LeaseExpired, "the target is silent, and its last lease of epoch %d has ended by any clock; %d runs", s.epoch, len(s.runs))
 	for ref, r := range s.runs {
 		s.endRunLocked(ref, r, lostWithTarget("the target was silent until its lease had run out", s.connRefused))
 	}
--- a/internal/timeline/explain.go
+++ b/internal/timeline/explain.go
@@ -32,7 +32,7 @@
 
 // Explain returns the story of one submission.
 func Explain(t Timeline, id job.ID) Story {
-	events := t.Of(id)
+	events := t.EventsOf(id)
 	story := Story{Submission: id, Found: len(events) > 0}
 	if story.Found {
 		t.addMissing(&story, events[0].Stamp)
@@ -82,8 +82,8 @@
 
 // The kinds of events of targets and entries that a story may refer to.
 var (
-	targetContext = []Kind{TargetLapsed, TargetLeaving, TargetSuspect, TargetYielded, LeaseRunOut}
-	entryContext  = []Kind{EntryDead, EntrySuspect, EntryDraining, EntryStopped, EntryPaused, OwnerSilent}
+	targetContext = []Kind{TargetExpired, TargetStopping, TargetSuspect, TargetYielded, LeaseExpired}
+	entryContext  = []Kind{EntryDead, EntrySuspect, EntryDraining, EntryStopped, EntryPaused, OwnerUnresponsive}
 )
 
 // ContextKinds returns the kinds of events, apart from those of the submission itself,
--- a/internal/timeline/merge.go
+++ b/internal/timeline/merge.go
@@ -92,8 +92,8 @@
 	return 0
 }
 
-// Of returns the events of one submission.
-func (t *Timeline) Of(id job.ID) []Event {
+// EventsOf returns the events of one submission.
+func (t *Timeline) EventsOf(id job.ID) []Event {
 	var out []Event
 	for i := range t.Events {
 		if t.Events[i].Submission == id {
--- a/internal/timeline/merge_test.go
+++ b/internal/timeline/merge_test.go
@@ -67,7 +67,7 @@
 	f.record("a2", Event{Kind: TaskStarted, Submission: "alert-7", Task: 0, Target: "w3", Took: 3 * time.Millisecond, Cause: "least expected finish of 5 targets"})
 	f.record("b1", Event{Kind: EntryDead, Peer: "a1", Cause: "no heartbeat for 2s"})
 	f.record("b1", Event{Kind: SubmissionReceived, Submission: "alert-7", Count: 2, Cause: "attempt 2"})
-	f.record("b1", Event{Kind: SubmissionTaken, Submission: "alert-7", Peer: "a1", Reason: job.OwnerLost})
+	f.record("b1", Event{Kind: SubmissionTakenOver, Submission: "alert-7", Peer: "a1", Reason: job.OwnerLost})
 	f.record("b1", Event{Kind: SubmissionAnswered, Submission: "alert-7", Reason: job.OwnerLost, Cause: "task 0 may have run"})
 	return f
 }
@@ -213,14 +213,14 @@
 	f := newFleet("a1")
 	f.record("a1", Event{Kind: SubmissionReceived, Submission: "p", Count: 1})
 	f.record("a1", Event{Kind: TaskStarted, Submission: "p", Target: "w1"})
-	f.record("a1", Event{Kind: LeaseRunOut, Target: "w1", Cause: "1 runs are over"})
+	f.record("a1", Event{Kind: LeaseExpired, Target: "w1", Cause: "1 runs are over"})
 	f.record("a1", Event{Kind: TaskEnded, Submission: "p", Target: "w1", Reason: job.TargetLost})
 	f.record("a1", Event{Kind: SubmissionAnswered, Submission: "p", Took: 2 * time.Second, Reason: Late, Cause: "complete, beyond 1s"})
 	story := Explain(f.merged(), "p")
 	qt.Assert(t, story.Sentences, qt.HasLen, 5)
 	qt.Assert(t, story.Sentences[3].Text, qt.Matches, `before that, at .*: the lease of the runs on target w1 has run out: 1 runs are over`)
 	qt.Assert(t, story.Sentences[4].Text, qt.Equals, "answered after 2s, late: complete, beyond 1s")
-	qt.Assert(t, ContextKinds(), qt.Contains, LeaseRunOut)
+	qt.Assert(t, ContextKinds(), qt.Contains, LeaseExpired)
 }
 
 // An entry dies with a job that must not be kept, and the caller sends it again to
--- a/internal/timeline/sentence.go
+++ b/internal/timeline/sentence.go
@@ -67,7 +67,7 @@
 		return fmt.Sprintf("received from its caller%s%s", withTasks(ev.Count), reasonAndCause(ev))
 	case SubmissionJoined:
 		return fmt.Sprintf("joined with the same submission%s, which keeps its place%s", ownedBy(ev.Peer), reasonAndCause(ev))
-	case SubmissionTaken:
+	case SubmissionTakenOver:
 		return fmt.Sprintf("taken over%s; tasks that may have started never start again%s", fromLostEntry(ev.Peer), reasonAndCause(ev))
 	case SubmissionAdmitted:
 		return fmt.Sprintf("admitted%s; entry %s owns it%s", withTasks(ev.Count), ev.Entry, reasonAndCause(ev))
@@ -131,26 +131,26 @@
 // fleetTexts describe the events that belong to no submission. %s stands for the
 // subject of the event.
 var fleetTexts = map[Kind]string{
-	TargetAnnounced:    "target %s announces itself",
-	TargetLeaving:      "target %s is stopping and gets no new work",
-	TargetLapsed:       "the lease of target %s expired",
-	TargetSuspect:      "target %s is suspected and gets only probes",
-	TargetHealthy:      "target %s is healthy again",
-	TargetTaken:        "this entry now controls target %s",
-	TargetYielded:      "this entry yields target %s to another one, and its runs there are over",
-	LeaseRunOut:        "the lease of the runs on target %s has run out",
-	VotersChanged:      "the voters change: %s votes",
-	EntryAlive:         "entry %s is alive",
-	EntrySuspect:       "entry %s is suspected",
-	EntryDead:          "entry %s is taken for dead",
-	ConfigurationSet:   "a configuration is in force%s",
-	ConfigurationTry:   "a configuration is proposed%s",
-	ConfigurationStale: "the configuration may be stale%s",
-	EntryStarted:       "entry %s starts",
-	EntryDraining:      "entry %s drains",
-	EntryStopped:       "entry %s stops",
-	EntryPaused:        "entry %s stood still",
-	OwnerSilent:        "the work of owner %s is given up",
+	TargetAnnounced:       "target %s announces itself",
+	TargetStopping:        "target %s is stopping and gets no new work",
+	TargetExpired:         "the lease of target %s expired",
+	TargetSuspect:         "target %s is suspected and gets only probes",
+	TargetHealthy:         "target %s is healthy again",
+	TargetTaken:           "this entry now controls target %s",
+	TargetYielded:         "this entry yields target %s to another one, and its runs there are over",
+	LeaseExpired:          "the lease of the runs on target %s has run out",
+	VotersChanged:         "the voters change: %s votes",
+	EntryAlive:            "entry %s is alive",
+	EntrySuspect:          "entry %s is suspected",
+	EntryDead:             "entry %s is taken for dead",
+	ConfigurationInEffect: "a configuration is in force%s",
+	ConfigurationProposed: "a configuration is proposed%s",
+	ConfigurationStale:    "the configuration may be stale%s",
+	EntryStarted:          "entry %s starts",
+	EntryDraining:         "entry %s drains",
+	EntryStopped:          "entry %s stops",
+	EntryPaused:           "entry %s stood still",
+	OwnerUnresponsive:     "the work of owner %s is given up",
 }
 
 func fleetSentence(ev *Event) string {
@@ -163,11 +163,11 @@
 	}
 	subject := string(ev.Peer)
 	switch ev.Kind {
-	case TargetAnnounced, TargetLeaving, TargetLapsed, TargetSuspect, TargetHealthy, TargetTaken, TargetYielded, LeaseRunOut:
+	case TargetAnnounced, TargetStopping, TargetExpired, TargetSuspect, TargetHealthy, TargetTaken, TargetYielded, LeaseExpired:
 		subject = string(ev.Target)
 	case EntryStarted, EntryDraining, EntryStopped, EntryPaused:
 		subject = string(ev.Entry)
-	case ConfigurationSet, ConfigurationTry, ConfigurationStale:
+	case ConfigurationInEffect, ConfigurationProposed, ConfigurationStale:
 		subject = ""
 		if ev.Count > 0 {
 			subject = fmt.Sprintf(", number %d", ev.Count)
--- a/internal/timeline/svg.go
+++ b/internal/timeline/svg.go
@@ -39,7 +39,7 @@
 
 // WriteSVG writes a picture of one submission of the time line.
 func WriteSVG(w io.Writer, t Timeline, id job.ID) error {
-	p := &svgPicture{lanes: map[string]int{}, events: t.Of(id)}
+	p := &svgPicture{lanes: map[string]int{}, events: t.EventsOf(id)}
 	if len(p.events) == 0 {
 		return errors.NotFoundf("submission %s in the time line", id)
 	}
