--- a/cmd/vanillagrade/capacity.go
+++ b/cmd/vanillagrade/capacity.go
@@ -36,7 +36,7 @@
 		return fail(stderr, exitFailed, err)
 	}
 	for _, lease := range append([]time.Duration{config.DefaultLease}, c.Leases...) {
-		size.Renew = lease / target.Renewals
+		size.Renew = lease / target.RenewalsPerLease
 		if err := capacity.WriteSize(stdout, &size, slopes); err != nil {
 			return fail(stderr, exitFailed, err)
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -229,7 +229,7 @@
 		cancel()
 		wg.Wait()
 		for _, j := range joiners {
-			mesh.Leave(j.opts.Book.self.Owner.Entry)
+			mesh.Crash(j.opts.Book.self.Owner.Entry)
 		}
 	})
 }
--- a/internal/entry/announced_test.go
+++ b/internal/entry/announced_test.go
@@ -177,7 +177,7 @@
 		ts.removeEnded(job.TargetID("x" + strconv.Itoa(i)))
 	}
 	qt.Assert(t, ts.registry.Held(), qt.HasLen, 2)
-	qt.Assert(t, ts.registry.Buried() <= 20_000, qt.IsTrue)
+	qt.Assert(t, ts.registry.EndedCount() <= 20_000, qt.IsTrue)
 	ts.removeEnded("t1")
 	_, _, err := ts.announce(t.Context(), testTarget("t1", "p", "10.0.0.1:80"))
 	qt.Assert(t, errors.Is(err, target.ErrWithdrawn), qt.IsTrue)
--- a/internal/entry/attach.go
+++ b/internal/entry/attach.go
@@ -78,7 +78,7 @@
 		m.Gauge(fmt.Sprintf("vanillagrade_malformed_total{kind=%q}", kind), func() float64 { return float64(e.opts.Malformed.Total(kind)) })
 	}
 	m.Gauge("vanillagrade_tasks_suspected", func() float64 { return float64(e.crashes.tracker.Len()) })
-	m.Gauge("vanillagrade_links", func() float64 { return float64(e.links.Standing()) })
+	m.Gauge("vanillagrade_links", func() float64 { return float64(e.links.OpenLinks()) })
 	m.Gauge("vanillagrade_links_opened", func() float64 { return float64(e.links.Opened()) })
 	m.Gauge(`vanillagrade_target_calls{kind="start"}`, func() float64 { return float64(e.calls.Starts.Load()) })
 	m.Gauge(`vanillagrade_target_calls{kind="look"}`, func() float64 { return float64(e.calls.Polls.Load()) })
--- a/internal/entry/inventory_test.go
+++ b/internal/entry/inventory_test.go
@@ -90,7 +90,7 @@
 		z := &testZone{t: t, net: &peertest.Network{Delay: time.Millisecond}, store: store, ended: map[job.TargetID]bool{}}
 		f(t, z)
 		for _, name := range []job.EntryID{"a", "b", "keeper"} {
-			z.net.Leave(name)
+			z.net.Crash(name)
 		}
 		time.Sleep(time.Second) // messages in transit are dropped
 		qt.Assert(t, store.Close(), qt.IsNil)
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -45,11 +45,11 @@
 		leaving := &job.Target{ID: "i-1", Pool: "p", Address: "10.0.0.1:80", Zone: "y"}
 		qt.Assert(t, ts.AnnounceStop(t.Context(), leaving), qt.IsNil)
 		qt.Assert(t, notified.Load(), qt.Equals, int64(1))
-		net.CutBoth("a", "b", true)
+		net.SetPartitioned("a", "b", true)
 		qt.Assert(t, ts.AnnounceStop(t.Context(), leaving), qt.IsNotNil)
 		elsewhere := &job.Target{ID: "i-2", Pool: "p", Address: "10.0.0.2:80", Zone: "z"}
 		qt.Assert(t, ts.AnnounceStop(t.Context(), elsewhere), qt.IsNil)
-		net.Leave("a")
-		net.Leave("b")
+		net.Crash("a")
+		net.Crash("b")
 	})
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -50,7 +50,7 @@
 		Loads:     e.holder.Loads,
 		Refused:   e.links.Refused,
 		Busy:      e.sharesWorkWith,
-		KeepLinks: e.links.Stand,
+		KeepLinks: e.links.SetPersistent,
 		Loaded:    e.recordLoads,
 		Compare:   exchange,
 	})
--- a/internal/entry/pause_test.go
+++ b/internal/entry/pause_test.go
@@ -28,7 +28,7 @@
 
 func (c *slowConn) Start(ctx context.Context, t target.Task) target.Result {
 	if t.Unwanted() {
-		return target.Withdrawn()
+		return target.CancelledBeforeSend()
 	}
 	c.starts.Add(1)
 	select {
@@ -125,8 +125,8 @@
 	p.stopEntry()
 	p.cancel()
 	p.entry.holder.Close()
-	p.net.Leave("h")
-	p.net.Leave("o")
+	p.net.Crash("h")
+	p.net.Crash("o")
 	time.Sleep(10 * time.Second) // messages in transit are dropped
 }
 
--- a/internal/entry/search.go
+++ b/internal/entry/search.go
@@ -21,7 +21,7 @@
 // serveSearches lets callers of other entries query and cancel submissions that
 // this one drives.
 func (e *Entry) serveSearches() {
-	e.links.Handle(peer.SubmissionLook, func(_ context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
+	e.links.Handle(peer.SubmissionPoll, func(_ context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
 		var id job.ID
 		if err := cbor.Unmarshal(body, &id); err != nil {
 			return nil, errors.Trace(err)
@@ -49,7 +49,7 @@
 	if status, ok := e.localStatus(id); ok {
 		return status, true
 	}
-	return search[api.JobStatus](ctx, e, peer.SubmissionLook, id)
+	return search[api.JobStatus](ctx, e, peer.SubmissionPoll, id)
 }
 
 func (e *Entry) localStatus(id job.ID) (api.JobStatus, bool) {
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -278,7 +278,7 @@
 	t.changeMu.Lock()
 	defer t.changeMu.Unlock()
 	if t.exclusive {
-		t.registry.Bury(time.Now(), id, address)
+		t.registry.RecordEnded(time.Now(), id, address)
 	}
 	if _, held := t.registry.Withdraw(time.Now(), id); !held {
 		return
--- a/internal/entry/traffic.go
+++ b/internal/entry/traffic.go
@@ -20,7 +20,7 @@
 func (e *Entry) trafficAttrs() []any {
 	out := []any{
 		"after_s", int(time.Since(e.started).Seconds()),
-		"links", e.links.Standing(), "links_opened", e.links.Opened(),
+		"links", e.links.OpenLinks(), "links_opened", e.links.Opened(),
 		"target_starts", e.calls.Starts.Load(), "target_looks", e.calls.Polls.Load(), "target_stops", e.calls.Stops.Load(),
 	}
 	for _, s := range e.links.Stats() {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -90,8 +90,8 @@
 		s.server = Serve(s.net.Join(holderID), s.holder)
 		test(s)
 		time.Sleep(time.Minute)
-		s.net.Leave("owner")
-		s.net.Leave("holder")
+		s.net.Crash("owner")
+		s.net.Crash("holder")
 	})
 }
 
@@ -219,17 +219,17 @@
 		late func(s *fixture)
 		want string
 	}{
-		{"never reached", func(s *fixture) { s.net.CutBoth("owner", "holder", true) }, nil, twoNotStarted},
-		{"killed after it received them", nil, func(s *fixture) { s.net.Leave("holder"); s.gone.Store(true) }, twoLost},
-		{"unreachable for long", nil, func(s *fixture) { s.net.CutBoth("owner", "holder", true) }, twoLost},
+		{"never reached", func(s *fixture) { s.net.SetPartitioned("owner", "holder", true) }, nil, twoNotStarted},
+		{"killed after it received them", nil, func(s *fixture) { s.net.Crash("holder"); s.gone.Store(true) }, twoLost},
+		{"unreachable for long", nil, func(s *fixture) { s.net.SetPartitioned("owner", "holder", true) }, twoLost},
 		{"restarted meanwhile", nil, func(s *fixture) {
 			next := holderID
 			next.Incarnation++
 			Serve(s.net.Join(next), s.holder)
 		}, twoLost},
 		{"unreachable and back", nil, func(s *fixture) {
-			s.net.CutBoth("owner", "holder", true)
-			time.AfterFunc(2*time.Second, func() { s.net.CutBoth("owner", "holder", false) })
+			s.net.SetPartitioned("owner", "holder", true)
+			time.AfterFunc(2*time.Second, func() { s.net.SetPartitioned("owner", "holder", false) })
 		}, twoDone},
 	}
 	for _, test := range tests {
@@ -327,7 +327,7 @@
 		s.offer(s.t.Context(), batch("a", 0, 1))
 		time.Sleep(time.Second)
 		taker := NewRemote(RemoteOptions{Mesh: s.net.Join(job.Owner{Entry: "taker", Incarnation: 1})})
-		defer s.net.Leave("taker")
+		defer s.net.Crash("taker")
 		held := taker.Fetch(s.t.Context(), []job.EntryID{"holder", "nobody"}, ownerID, "a")
 		qt.Assert(t, statuses(held), qt.Equals, twoDone)
 		s.net.SetDrop(nil)
@@ -372,11 +372,11 @@
 		}
 		_, _, err := at["a"].ForwardTarget(t.Context(), job.Target{ID: "t", Slots: -1})
 		qt.Assert(t, err, qt.ErrorIs, peer.ErrRejected)
-		net.Leave("b")
+		net.Crash("b")
 		_, _, err = at["a"].ForwardTarget(t.Context(), target)
 		qt.Assert(t, err, qt.ErrorIs, peer.ErrNotSent)
 		for id := range view {
-			net.Leave(id)
+			net.Crash(id)
 		}
 	})
 }
--- a/internal/handover/load_test.go
+++ b/internal/handover/load_test.go
@@ -32,7 +32,7 @@
 				loads = append(loads, l)
 			},
 		})
-		defer s.net.Leave("second")
+		defer s.net.Crash("second")
 		b := batch("j", 0, 1)
 		b.Pool = "gpu"
 		done := make(chan struct{})
--- a/internal/handover/record_test.go
+++ b/internal/handover/record_test.go
@@ -39,9 +39,9 @@
 		s.server.SetEventSink(n)
 		got := s.offer(context.Background(), batch("j", 0, 1))
 		time.Sleep(100 * time.Millisecond)
-		s.net.CutBoth("owner", "holder", true)
+		s.net.SetPartitioned("owner", "holder", true)
 		time.Sleep(50 * time.Millisecond)
-		s.net.CutBoth("owner", "holder", false)
+		s.net.SetPartitioned("owner", "holder", false)
 		<-got
 		events := n.all()
 		qt.Assert(t, events, qt.HasLen, 2)
--- a/internal/holder/task.go
+++ b/internal/holder/task.go
@@ -236,10 +236,10 @@
 		Ran:           res.Ran,
 		Status:        res.Status,
 		Reason:        res.Reason,
-		TargetRefused: res.Refusal == target.Busy || res.Refusal == target.Leaving || res.Refusal == target.NoRoom,
+		TargetRefused: res.Refusal == target.Busy || res.Refusal == target.Draining || res.Refusal == target.NoCapacity,
 		Unanswered:    res.Refusal == target.Unanswered,
 		Lost:          res.Reason == job.TargetLost,
-		NoCapacity:    res.Refusal == target.NoRoom,
+		NoCapacity:    res.Refusal == target.NoCapacity,
 	}
 }
 
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -105,10 +105,10 @@
 		remote := &Remote{Mesh: ownerSide, Entry: keeper.Entry}
 		qt.Assert(t, remote.Accept(t.Context(), owner, forecast()), qt.IsNil)
 		qt.Assert(t, remote.Grant(t.Context(), "forecast", []int{0}), qt.IsNil)
-		net.CutBoth("a1", "b1", true)
+		net.SetPartitioned("a1", "b1", true)
 		qt.Assert(t, errors.Is(remote.Grant(t.Context(), "forecast", []int{1}), ErrNotKept), qt.IsTrue)
 		qt.Assert(t, k.Grant(t.Context(), "forecast", []int{1}), qt.IsNil)
-		net.CutBoth("a1", "b1", false)
+		net.SetPartitioned("a1", "b1", false)
 		qt.Assert(t, errors.Is(remote.Grant(t.Context(), "forecast", []int{1}), ErrGranted), qt.IsTrue)
 		qt.Assert(t, remote.Grant(t.Context(), "forecast", []int{2}), qt.IsNil)
 		qt.Assert(t, errors.Is(k.Grant(t.Context(), "forecast", []int{2}), ErrGranted), qt.IsTrue)
@@ -121,7 +121,7 @@
 func TestLostAcceptanceIsUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net, k, ownerSide := newNetwork(t)
-		net.Cut("b1", "a1", true)
+		net.SetBlocked("b1", "a1", true)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		err := (&Remote{Mesh: ownerSide, Entry: keeper.Entry}).Accept(ctx, owner, forecast())
--- a/internal/membership/large_test.go
+++ b/internal/membership/large_test.go
@@ -80,7 +80,7 @@
 	for _, a := range f.owners {
 		for _, b := range f.owners {
 			if inside(a) != inside(b) {
-				f.net.Cut(a.Entry, b.Entry, down)
+				f.net.SetBlocked(a.Entry, b.Entry, down)
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 	inLargeFleets(t, typical, func(t *testing.T, f *largeFleet) {
 		a := f.owners[3]
 		b := watch.Ring(a.Entry, a.Zone, f.members[a.Entry].detector.watchMembers())[0]
-		f.net.CutBoth(a.Entry, b, true)
+		f.net.SetPartitioned(a.Entry, b, true)
 		for range 10 {
 			f.pass(2 * time.Second)
 			qt.Assert(t, f.differing(a.Entry, "alive", b), qt.HasLen, 0)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -54,13 +54,13 @@
 
 func (f *fleet) kill(id job.EntryID) {
 	f.stop[id]()
-	f.net.Leave(id)
+	f.net.Crash(id)
 }
 
 func (f *fleet) end() {
 	for id := range f.members {
 		f.stop[id]()
-		f.net.Leave(id)
+		f.net.Crash(id)
 	}
 	f.pass(time.Second)
 }
@@ -124,14 +124,14 @@
 			id := job.TargetID(fmt.Sprint("t", i))
 			before[id] = f.members["c"].Holder(id)
 		}
-		f.net.CutBoth("a", "b", true)
+		f.net.SetPartitioned("a", "b", true)
 		f.pass(20 * time.Second)
 		qt.Assert(t, f.state("a", "b"), qt.Equals, "suspect")
 		qt.Assert(t, f.views("b", "c", "d"), qt.Equals, "alive alive ")
 		for id, holder := range before {
 			qt.Assert(t, f.members["a"].Holder(id), qt.Equals, holder)
 		}
-		f.net.CutBoth("a", "b", false)
+		f.net.SetPartitioned("a", "b", false)
 		f.pass(time.Second)
 		qt.Assert(t, f.state("a", "b"), qt.Equals, "alive")
 	})
@@ -143,14 +143,14 @@
 func TestPartitionedEntryIsIsolatedAndRejoins(t *testing.T) {
 	run(t, func(f *fleet) {
 		for _, other := range []job.EntryID{"b", "c", "d"} {
-			f.net.CutBoth("a", other, true)
+			f.net.SetPartitioned("a", other, true)
 		}
 		f.pass(time.Minute)
 		qt.Assert(t, f.members["a"].View().Isolated, qt.IsTrue)
 		qt.Assert(t, f.members["b"].View().Isolated, qt.IsFalse)
 		qt.Assert(t, f.views("a", "b", "c", "d"), qt.Equals, "dead dead dead ")
 		for _, other := range []job.EntryID{"b", "c", "d"} {
-			f.net.CutBoth("a", other, false)
+			f.net.SetPartitioned("a", other, false)
 		}
 		f.pass(1300 * time.Millisecond)
 		qt.Assert(t, f.members["a"].View().Isolated, qt.IsFalse)
@@ -165,7 +165,7 @@
 func TestOnlyEntryOfZoneIsNotIsolated(t *testing.T) {
 	run(t, func(f *fleet) {
 		for _, other := range []job.EntryID{"a", "b", "c"} {
-			f.net.CutBoth("d", other, true)
+			f.net.SetPartitioned("d", other, true)
 		}
 		f.pass(time.Minute)
 		qt.Assert(t, f.views("d", "a", "b", "c"), qt.Equals, "dead dead dead ")
--- a/internal/peer/demand.go
+++ b/internal/peer/demand.go
@@ -29,9 +29,9 @@
 // has to dial.
 const errWillDialBack = errors.ConstError("peer: dialled back")
 
-// Stand sets the entries to which links are kept open permanently; nil means all. Links to
+// SetPersistent sets the entries to which links are kept open permanently; nil means all. Links to
 // other entries are opened on demand.
-func (l *Links) Stand(ids []job.EntryID) {
+func (l *Links) SetPersistent(ids []job.EntryID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.persistentIDs = nil
--- a/internal/peer/demand_test.go
+++ b/internal/peer/demand_test.go
@@ -36,7 +36,7 @@
 	for _, l := range []*Links{p.a, p.b} {
 		l.demandPeriod = testDemandPeriod
 		l.Handle(testKind, handler)
-		l.Stand([]job.EntryID{})
+		l.SetPersistent([]job.EntryID{})
 		run(t, l)
 	}
 	return p
@@ -72,7 +72,7 @@
 // failure, calls fail without waiting.
 func TestDemandOfAnEndedEntryFailsSoon(t *testing.T) {
 	a := New(Options{Self: owner("a", 1), Peers: []Peer{{Entry: "b", Zone: "z", Address: "127.0.0.1:1"}}})
-	a.Stand([]job.EntryID{})
+	a.SetPersistent([]job.EntryID{})
 	run(t, a)
 	qt.Assert(t, call(a, "b"), qt.ErrorIs, ErrNotSent)
 	begun := time.Now()
@@ -104,10 +104,10 @@
 
 // Guards against links that stay closed when a large fleet, whose links are opened on
 // demand, becomes small again.
-func TestAllLinksStandAgain(t *testing.T) {
+func TestAllLinksReopenWhenFleetShrinks(t *testing.T) {
 	p := sparsePair(t, echo)
-	p.a.Stand(nil)
-	p.b.Stand(nil)
+	p.a.SetPersistent(nil)
+	p.b.SetPersistent(nil)
 	p.await(true)
 	time.Sleep(2 * testDemandPeriod)
 	qt.Assert(t, p.a.Up("b"), qt.IsTrue)
--- a/internal/peer/kinds.go
+++ b/internal/peer/kinds.go
@@ -17,7 +17,7 @@
 	RegistrarSync:    "registrar_sync",
 	RegistrarYield:   "registrar_yield",
 	SubmissionJoin:   "submission_join",
-	SubmissionLook:   "submission_look",
+	SubmissionPoll:   "submission_look",
 	SubmissionCancel: "submission_cancel",
 	BatchOffer:       "batch_offer",
 	BatchCancel:      "batch_cancel",
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -144,8 +144,8 @@
 // Opened returns how many links have come up since the process started.
 func (l *Links) Opened() uint64 { return l.opened.Load() }
 
-// Standing returns the number of open links.
-func (l *Links) Standing() int {
+// OpenLinks returns the number of open links.
+func (l *Links) OpenLinks() int {
 	n := 0
 	for _, r := range l.all() {
 		if r.current() != nil {
--- a/internal/peer/links_test.go
+++ b/internal/peer/links_test.go
@@ -289,7 +289,7 @@
 // An entry is restarted while its old process is still running, or a packet of the
 // old process arrives late. A link of the earlier incarnation must never replace one
 // of the later incarnation.
-func TestEarlierLifeNeverReplacesLater(t *testing.T) {
+func TestEarlierIncarnationNeverReplacesLater(t *testing.T) {
 	links := make(chan bool, 8)
 	b := New(Options{
 		Self: owner("b", 1), Peers: []Peer{{Entry: "a", Zone: "z"}}, Secret: []byte("s"),
@@ -313,7 +313,7 @@
 // A process ends while its machine keeps running. Its peers, whether they dial it or
 // are dialled by it, must learn that it is down rather than partitioned, so that its
 // targets are served again immediately.
-func TestRefusedConnectionsAreTold(t *testing.T) {
+func TestRefusedConnectionsAreReported(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	address := ln.Addr().String()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -27,7 +27,7 @@
 	RegistrarSync    Kind = 12
 	RegistrarYield   Kind = 13
 	SubmissionJoin   Kind = 14
-	SubmissionLook   Kind = 15
+	SubmissionPoll   Kind = 15
 	SubmissionCancel Kind = 16
 	BatchOffer       Kind = 20
 	BatchCancel      Kind = 21
--- a/internal/peer/peertest/network.go
+++ b/internal/peer/peertest/network.go
@@ -64,8 +64,8 @@
 	return node
 }
 
-// Leave removes a node immediately, as a crash does.
-func (n *Network) Leave(id job.EntryID) {
+// Crash removes a node immediately, as a crash does.
+func (n *Network) Crash(id job.EntryID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if old := n.nodes[id]; old != nil {
@@ -74,18 +74,18 @@
 	}
 }
 
-// Cut blocks (down is true) or restores the messages from a to b, in this direction
+// SetBlocked blocks (down is true) or restores the messages from a to b, in this direction
 // only.
-func (n *Network) Cut(a, b job.EntryID, down bool) {
+func (n *Network) SetBlocked(a, b job.EntryID, down bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.blocked[[2]job.EntryID{a, b}] = down
 }
 
-// CutBoth blocks or restores the messages between a and b in both directions.
-func (n *Network) CutBoth(a, b job.EntryID, down bool) {
-	n.Cut(a, b, down)
-	n.Cut(b, a, down)
+// SetPartitioned blocks or restores the messages between a and b in both directions.
+func (n *Network) SetPartitioned(a, b job.EntryID, down bool) {
+	n.SetBlocked(a, b, down)
+	n.SetBlocked(b, a, down)
 }
 
 // SetDrop replaces Drop while the network is in use.
--- a/internal/register/bench_test.go
+++ b/internal/register/bench_test.go
@@ -75,7 +75,7 @@
 	}
 	b.Cleanup(func() {
 		for e, m := range f.nodes {
-			f.net.Leave(e)
+			f.net.Crash(e)
 			m.stop()
 			<-m.done
 		}
--- a/internal/register/fleet_test.go
+++ b/internal/register/fleet_test.go
@@ -109,7 +109,7 @@
 	if m.fs != nil {
 		m.fs.CrashAt(1)
 	}
-	f.net.Leave(e)
+	f.net.Crash(e)
 	m.stop()
 	<-m.done
 	f.mu.Lock()
@@ -123,7 +123,7 @@
 
 func (f *fleet) stopAll() {
 	for e, m := range f.nodes {
-		f.net.Leave(e)
+		f.net.Crash(e)
 		m.stop()
 		<-m.done
 	}
@@ -141,7 +141,7 @@
 	for _, a := range f.entries {
 		for _, b := range f.entries {
 			if in[a] && !in[b] {
-				f.net.CutBoth(a, b, down)
+				f.net.SetPartitioned(a, b, down)
 			}
 		}
 	}
--- a/internal/registrar/fleet_test.go
+++ b/internal/registrar/fleet_test.go
@@ -112,7 +112,7 @@
 // kill stops an entry abruptly, without announcing it to the others.
 func (f *fleet) kill(id job.EntryID) {
 	f.entries[id].stop()
-	f.net.Leave(id)
+	f.net.Crash(id)
 	delete(f.entries, id)
 }
 
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -202,7 +202,7 @@
 	withFleet(t, twoZones, func(f *fleet) {
 		for _, here := range []job.EntryID{"a", "b", "c"} {
 			for _, there := range []job.EntryID{"d", "e"} {
-				f.net.CutBoth(here, there, true)
+				f.net.SetPartitioned(here, there, true)
 			}
 		}
 		f.advance(20 * time.Second)
@@ -216,7 +216,7 @@
 		qt.Assert(t, f.entries["e"].submit(submission("own of a", 2)), qt.Equals, "unknown zone_unreachable false")
 		for _, here := range []job.EntryID{"a", "b", "c"} {
 			for _, there := range []job.EntryID{"d", "e"} {
-				f.net.CutBoth(here, there, false)
+				f.net.SetPartitioned(here, there, false)
 			}
 		}
 		f.advance(5 * time.Second)
@@ -232,7 +232,7 @@
 func TestPartitionedEntryStartsNothing(t *testing.T) {
 	withFleet(t, twoZones, func(f *fleet) {
 		for other := range twoZones {
-			f.net.CutBoth("a", other, true)
+			f.net.SetPartitioned("a", other, true)
 		}
 		f.advance(20 * time.Second)
 		qt.Assert(t, f.entries["a"].submit(submission("x", 1)), qt.Equals, "unknown no_registrar true")
@@ -247,7 +247,7 @@
 func TestBrokenWayBetweenRivals(t *testing.T) {
 	for _, pair := range [][2]job.EntryID{{"a", "b"}, {"b", "c"}, {"a", "c"}} {
 		withFleet(t, twoZones, func(f *fleet) {
-			f.net.CutBoth(pair[0], pair[1], true)
+			f.net.SetPartitioned(pair[0], pair[1], true)
 			f.advance(100 * time.Millisecond)
 			for round := range 2 {
 				for _, id := range manyIDs(string(rune('0' + round))) {
--- a/internal/runs/session.go
+++ b/internal/runs/session.go
@@ -188,7 +188,7 @@
 		return refused
 	}
 	if t.Unwanted() {
-		return target.Withdrawn()
+		return target.CancelledBeforeSend()
 	}
 	ref := Ref{t.Submission, t.Index}
 	r := &run{number: max(1, t.Run), percent: -1, expected: t.Expected, timeLeft: t.Left, done: make(chan target.Result, 1)}
@@ -216,7 +216,7 @@
 	s.mu.Unlock()
 	switch {
 	case replaced || s.isDeposed():
-		return notStarted(target.Leaving, "this entry no longer holds the target"), false
+		return notStarted(target.Draining, "this entry no longer holds the target"), false
 	case unresponsive:
 		return notStarted(target.Unreachable, "the target does not answer"), false
 	case settled:
--- a/internal/runs/session_test.go
+++ b/internal/runs/session_test.go
@@ -346,7 +346,7 @@
 		qt.Assert(t, res.Status, qt.Equals, job.TaskErred)
 		qt.Assert(t, res.Over, qt.IsTrue)
 		<-yielded
-		qt.Assert(t, first.Start(t.Context(), taskOf("c", 1)).Refusal, qt.Equals, target.Leaving)
+		qt.Assert(t, first.Start(t.Context(), taskOf("c", 1)).Refusal, qt.Equals, target.Draining)
 		qt.Assert(t, second.Start(t.Context(), taskOf("d", 1)).Status, qt.Equals, job.TaskDone)
 		first.Close()
 		second.Close()
--- a/internal/runs/start.go
+++ b/internal/runs/start.go
@@ -25,7 +25,7 @@
 		// Everything sent after this check, copies of the request included, is bounded by the
 		// lease in the request.
 		if t.Unwanted() {
-			s.abandonStart(ref, r, inDoubt, target.Withdrawn())
+			s.abandonStart(ref, r, inDoubt, target.CancelledBeforeSend())
 			return
 		}
 		p := s.promptPolicy()
@@ -49,7 +49,7 @@
 		case Fenced:
 			refusals++
 			if !s.outdated(o.Epoch) {
-				s.abandonStart(ref, r, inDoubt, notStarted(target.Leaving, "another entry holds the target"))
+				s.abandonStart(ref, r, inDoubt, notStarted(target.Draining, "another entry holds the target"))
 				return
 			}
 			continue
@@ -112,9 +112,9 @@
 func refusalResult(reply Reply) target.Result {
 	switch reply.Refusal {
 	case WrongIncarnation:
-		return notStarted(target.Leaving, "another incarnation of the target listens at its address")
+		return notStarted(target.Draining, "another incarnation of the target listens at its address")
 	case NoCapacity:
-		return notStarted(target.NoRoom, "the target has no free capacity for the task: "+reply.Detail)
+		return notStarted(target.NoCapacity, "the target has no free capacity for the task: "+reply.Detail)
 	case Unavailable:
 		return notStarted(target.Busy, "the target accepts no starts at the moment: "+reply.Detail)
 	}
--- a/internal/target/client_test.go
+++ b/internal/target/client_test.go
@@ -139,7 +139,7 @@
 	res.Ran = 0
 	qt.Assert(t, res, qt.DeepEquals, Result{Status: job.TaskNotStarted, Reason: job.TargetRefused, Refusal: Busy, Detail: "full"})
 	res = l.Start(t.Context(), Task{Submission: "x", Payload: []byte("1")})
-	qt.Assert(t, res.Refusal, qt.Equals, Leaving)
+	qt.Assert(t, res.Refusal, qt.Equals, Draining)
 	qt.Assert(t, raw.conns, qt.Equals, 1)
 }
 
@@ -208,7 +208,7 @@
 
 // A task is cancelled while it runs, and its answer arrives late. Its connection must
 // not be reused, because the next task would receive the late answer as its result.
-func TestLateAnswerIsNobodysElse(t *testing.T) {
+func TestLateAnswerIsNotReused(t *testing.T) {
 	received := make(chan struct{})
 	release := make(chan struct{})
 	raw := serveRaw(t, func(c net.Conn, r *http.Request) bool {
@@ -237,7 +237,7 @@
 
 // A target accepts a task and never answers. Without a limit, its slot would be lost
 // forever, and over time all slots of the target.
-func TestSilentTargetIsGivenUp(t *testing.T) {
+func TestUnresponsiveTargetTimesOut(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	silent := func(net.Conn, *http.Request) bool { <-release; return false }
--- a/internal/target/registry.go
+++ b/internal/target/registry.go
@@ -27,9 +27,9 @@
 )
 
 const (
-	// Renewals is the number of announcements per lease. Two consecutive lost
+	// RenewalsPerLease is the number of announcements per lease. Two consecutive lost
 	// ones don't end the lease.
-	Renewals = 3
+	RenewalsPerLease = 3
 	// withdrawnPeriod is how long the announcements of a withdrawn target are
 	// refused for its former address. An announcement that is in transit through
 	// another entry may arrive after the withdrawal. It would restore the target
@@ -99,9 +99,9 @@
 	}
 }
 
-// Bury records that a target at an address has ended, so that its further
+// RecordEnded records that a target at an address has ended, so that its further
 // announcements are refused. An empty address means any address.
-func (r *Registry) Bury(now time.Time, id job.TargetID, address string) {
+func (r *Registry) RecordEnded(now time.Time, id job.TargetID, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.held[id] == nil && len(r.ended) >= maxEnded {
@@ -110,8 +110,8 @@
 	r.ended[endedKey{id, address}] = now.Add(endedPeriod)
 }
 
-// Buried returns the number of targets that are recorded as ended.
-func (r *Registry) Buried() int {
+// EndedCount returns the number of targets that are recorded as ended.
+func (r *Registry) EndedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.ended)
@@ -146,7 +146,7 @@
 		return 0, 0, errors.Trace(err)
 	}
 	r.store(now, t, duration)
-	return duration, duration / Renewals, nil
+	return duration, duration / RenewalsPerLease, nil
 }
 
 func (r *Registry) leaseTime() time.Duration {
--- a/internal/target/registry_test.go
+++ b/internal/target/registry_test.go
@@ -70,7 +70,7 @@
 // A target dies without withdrawing. Its lease must expire by itself, while a target
 // that keeps announcing itself must never lose its lease. The lease time is that of
 // the configuration.
-func TestLeasesLapseUnlessRenewed(t *testing.T) {
+func TestLeasesExpireUnlessRenewed(t *testing.T) {
 	r := NewRegistry("a", config.Fixed{File: &config.File{Targets: config.TargetDefaults{Lease: 3 * time.Second}}})
 	for _, announced := range []job.Target{testTarget("dies", "10.0.0.1:81"), testTarget("lives", "10.0.0.1:82")} {
 		lasts, renew, err := r.Announce(start, announced)
--- a/internal/target/start.go
+++ b/internal/target/start.go
@@ -47,16 +47,16 @@
 	Unreachable
 	// Busy means that the target has no free slot (429).
 	Busy
-	// Leaving means that the target is draining and accepts no more work (503).
-	Leaving
+	// Draining means that the target is draining and accepts no more work (503).
+	Draining
 	// Unanswered means that the target responds, but never received a start
 	// request that was sent to it.
 	Unanswered
 	// Abandoned means that the dispatcher cancelled the start before it sent
 	// anything.
 	Abandoned
-	// NoRoom means that the target has too little free capacity for the task.
-	NoRoom
+	// NoCapacity means that the target has too little free capacity for the task.
+	NoCapacity
 )
 
 // Task is a task to start.
@@ -84,8 +84,8 @@
 // Unwanted reports whether nobody waits for the task anymore.
 func (t *Task) Unwanted() bool { return t.Wanted != nil && !t.Wanted() }
 
-// Withdrawn returns the result of a task that was cancelled before anything was sent.
-func Withdrawn() Result {
+// CancelledBeforeSend returns the result of a task that was cancelled before anything was sent.
+func CancelledBeforeSend() Result {
 	return Result{Status: job.TaskNotStarted, Reason: job.CancelledByCall, Refusal: Abandoned, Detail: "cancelled before the start request was sent"}
 }
 
@@ -129,7 +129,7 @@
 		}
 		unsent := tracker.unsent()
 		if unsent && tracker.cancelled() {
-			return Withdrawn()
+			return CancelledBeforeSend()
 		}
 		if unsent && tracker.reusedConn() && attempt <= maxStaleRetries && ctx.Err() == nil {
 			continue
@@ -233,7 +233,7 @@
 	case http.StatusTooManyRequests:
 		return Busy
 	case http.StatusServiceUnavailable:
-		return Leaving
+		return Draining
 	}
 	return NoRefusal
 }
--- a/internal/target/usertimeout_linux_test.go
+++ b/internal/target/usertimeout_linux_test.go
@@ -10,7 +10,7 @@
 
 // A target's machine loses power and sends no FIN, RST or acknowledgement. Only the
 // socket's own timeouts end the wait; without them, its jobs would hang for minutes.
-func TestConnectionsGiveUpOnSilence(t *testing.T) {
+func TestConnectionsDetectUnresponsivePeer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { _ = l.Close() }()
