--- a/cmd/vanillagrade/load.go
+++ b/cmd/vanillagrade/load.go
@@ -43,7 +43,7 @@
 		return fail(stderr, exitFailed, err)
 	}
 	for i := range reports {
-		if !reports[i].Checks.Good() {
+		if !reports[i].Checks.Passed() {
 			return exitFailed
 		}
 	}
@@ -81,7 +81,7 @@
 
 // trial measures the policies in this process, this project's policy first.
 func (c *loadCmd) trial(ctx context.Context, spec load.Spec) ([]load.Report, error) {
-	policies := []trial.Policy{trial.Ours()}
+	policies := []trial.Policy{trial.FullPolicy()}
 	if c.Baselines {
 		policies = append(policies, trial.Baselines()...)
 	}
--- a/cmd/vanillagrade/session_test.go
+++ b/cmd/vanillagrade/session_test.go
@@ -37,7 +37,7 @@
 	ports   map[string]*entryPorts
 	links   map[[2]string]*link
 	running map[string]*process
-	ledger  *standin.Ledger
+	tracker *standin.StartTracker
 	targets map[string]func()
 	// released is closed to let the tasks of held targets end.
 	released    chan struct{}
@@ -55,7 +55,7 @@
 func newSessionFleet() *sessionFleet {
 	return &sessionFleet{
 		zones: map[string]string{}, ports: map[string]*entryPorts{}, links: map[[2]string]*link{},
-		running: map[string]*process{}, ledger: standin.NewLedger(), targets: map[string]func(){},
+		running: map[string]*process{}, tracker: standin.NewStartTracker(), targets: map[string]func(){},
 		released: make(chan struct{}),
 	}
 }
@@ -251,7 +251,7 @@
 	}
 	o := standin.Options{
 		ID: job.TargetID(args[0]), Zone: job.Zone(args[1]), Service: args[2], Slots: slots,
-		Entries: entries, Ledger: s.ledger, Processors: 8, MemoryMB: 8192,
+		Entries: entries, Starts: s.tracker, Processors: 8, MemoryMB: 8192,
 	}
 	if len(args) == 5 {
 		o.Work = s.heldWork
@@ -299,11 +299,11 @@
 	want, err := strconv.ParseUint(args[0], 10, 64)
 	ts.Check(err)
 	// The entry records a start before the target receives the task.
-	s.await(ts, "starts "+args[0], func() bool { return s.ledger.Starts() >= want })
-	if got := s.ledger.Starts(); got != want {
+	s.await(ts, "starts "+args[0], func() bool { return s.tracker.Starts() >= want })
+	if got := s.tracker.Starts(); got != want {
 		ts.Fatalf("%d starts, expected %d", got, want)
 	}
-	if n := s.ledger.DoubledStarts(); n != 0 {
+	if n := s.tracker.DoubledStarts(); n != 0 {
 		ts.Fatalf("%d tasks were started twice", n)
 	}
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -15,11 +15,11 @@
 	size := Size{Entries: 10, Targets: 1000, Renew: 2 * time.Second, Starts: 1000, Changes: 86400, TasksPerJob: 10}
 	slopes := &Slopes{
 		RenewalCPU: 100 * time.Microsecond, RenewalBytes: 500, TargetBytes: 1 << 20,
-		Rest: []AtRest{{Entries: 3, Bytes: 1}, {Entries: 9, Bytes: 270}}, ForwardBytes: 100, ConfigBytes: 7, EventCPU: time.Microsecond, RingMemory: 5 << 20,
-		LookBytes: 7, Exchange: []AtExchange{{Entries: 3, Bytes: 1}, {Entries: 11, Bytes: 30}},
+		Idle: []IdleCost{{Entries: 3, Bytes: 1}, {Entries: 9, Bytes: 270}}, ForwardBytes: 100, ConfigBytes: 7, EventCPU: time.Microsecond, RingMemory: 5 << 20,
+		LeaseRenewalBytes: 7, Exchange: []ExchangeCost{{Entries: 3, Bytes: 1}, {Entries: 11, Bytes: 30}},
 	}
 	sum := Sum(Control(&size, slopes))
-	qt.Assert(t, sum.Core > 0.0053-1e-9 && sum.Core < 0.0053+1e-9, qt.IsTrue, qt.Commentf("%v", sum.Core))
+	qt.Assert(t, sum.Cores > 0.0053-1e-9 && sum.Cores < 0.0053+1e-9, qt.IsTrue, qt.Commentf("%v", sum.Cores))
 	// Each daemon holds 100 targets. It renews the leases of each 1/0.35 times per second
 	// and takes part in one exchange per second.
 	qt.Assert(t, math.Round(sum.Bytes), qt.Equals, 50*600.0+270+7+2000+30)
--- a/internal/capacity/discovery.go
+++ b/internal/capacity/discovery.go
@@ -12,9 +12,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer/peertest"
 )
 
-// AtExchange is the cost of one exchange of known entries for a given number of
+// ExchangeCost is the cost of one exchange of known entries for a given number of
 // entries.
-type AtExchange struct {
+type ExchangeCost struct {
 	Entries int
 	CPU     time.Duration
 	Bytes   float64
@@ -48,12 +48,12 @@
 	return nil
 }
 
-func (m *Slopes) measureExchange(entries int, minTime time.Duration) (AtExchange, error) {
+func (m *Slopes) measureExchange(entries int, minTime time.Duration) (ExchangeCost, error) {
 	network := &peertest.Network{}
 	var answering *discovery.Joiner
 	l, stop, err := serveCounted(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { answering.ServeHTTP(w, r) }))
 	if err != nil {
-		return AtExchange{}, errors.Trace(err)
+		return ExchangeCost{}, errors.Trace(err)
 	}
 	defer stop()
 	address := l.Addr().String()
@@ -71,14 +71,14 @@
 		count++
 	})
 	if !asking.Joined() {
-		return AtExchange{}, errors.New("the exchange got no answer")
+		return ExchangeCost{}, errors.New("the exchange got no answer")
 	}
-	return AtExchange{Entries: entries, CPU: cpu, Bytes: float64(l.bytes.Load()) / float64(count)}, nil
+	return ExchangeCost{Entries: entries, CPU: cpu, Bytes: float64(l.bytes.Load()) / float64(count)}, nil
 }
 
 // nearestExchange returns the measurement whose number of entries is nearest to n.
-func (m *Slopes) nearestExchange(n int) AtExchange {
-	var best AtExchange
+func (m *Slopes) nearestExchange(n int) ExchangeCost {
+	var best ExchangeCost
 	for _, x := range m.Exchange {
 		if best.Entries == 0 || abs(x.Entries-n) < abs(best.Entries-n) {
 			best = x
--- a/internal/capacity/leases.go
+++ b/internal/capacity/leases.go
@@ -103,15 +103,15 @@
 	defer client.Close()
 	count := 0
 	var lastErr error
-	m.LookCPU = cpuPerCall(minTime, func(i int) {
+	m.LeaseRenewalCPU = cpuPerCall(minTime, func(i int) {
 		if _, err := client.Renew(context.Background(), runs.PollRequest{Until: int64(i), Epoch: 1 << 40, WaitMillis: 350}); err != nil {
 			lastErr = err
 		}
 		count++
 	})
-	m.LookBytes = float64(l.bytes.Load()) / float64(count)
+	m.LeaseRenewalBytes = float64(l.bytes.Load()) / float64(count)
 	at := fmt.Sprintf("%d runs", n)
-	m.addCPU("one renewal of the leases on a target, the stand-in included", at, m.LookCPU)
-	m.addPoint("one renewal of the leases on a target and its answer, without TCP and IP headers", at, m.LookBytes, "bytes")
+	m.addCPU("one renewal of the leases on a target, the stand-in included", at, m.LeaseRenewalCPU)
+	m.addPoint("one renewal of the leases on a target and its answer, without TCP and IP headers", at, m.LeaseRenewalBytes, "bytes")
 	return errors.Trace(lastErr)
 }
--- a/internal/capacity/logs.go
+++ b/internal/capacity/logs.go
@@ -45,10 +45,10 @@
 	out := &countingWriter{}
 	writer := eventlog.NewWriter(out)
 	overBudget := newSink(writer)
-	m.LeftOutCPU = cpuPerCall(minTime, func(i int) { overBudget.Record(startEvent(i, "")) })
-	m.addCPU("one event without a line, counted for the figures", "log on, over its budget", m.LeftOutCPU)
-	m.LineCPU = m.cpuPerLine(writer, minTime)
-	m.addCPU("one event with a line", "log on", m.LineCPU)
+	m.UnloggedCPU = cpuPerCall(minTime, func(i int) { overBudget.Record(startEvent(i, "")) })
+	m.addCPU("one event without a line, counted for the figures", "log on, over its budget", m.UnloggedCPU)
+	m.LoggedCPU = m.cpuPerLine(writer, minTime)
+	m.addCPU("one event with a line", "log on", m.LoggedCPU)
 	writer.Close()
 	blockedOut := &countingWriter{blocked: make(chan struct{})}
 	blockedWriter := eventlog.NewWriter(blockedOut)
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -33,8 +33,8 @@
 	TargetBytes  float64
 	ExpireCPU    time.Duration
 	ForwardBytes float64
-	// Rest is the cost of links and heartbeats, by the number of entries.
-	Rest []AtRest
+	// Idle is the cost of links and heartbeats, by the number of entries.
+	Idle []IdleCost
 	// BaseCore and BaseMemory are the cost of an idle entry without peers, including
 	// its empty ring.
 	BaseCore     float64
@@ -50,16 +50,16 @@
 	SplitCPU     time.Duration
 	QuotaCPU     time.Duration
 	QueuedBytes  float64
-	// LookCPU and LookBytes are the cost of one renewal of the leases on a busy target.
+	// LeaseRenewalCPU and LeaseRenewalBytes are the cost of one renewal of the leases on a busy target.
 	// Exchange is the cost of one exchange of known entries, by the number of entries.
-	LookCPU   time.Duration
-	LookBytes float64
-	Exchange  []AtExchange
-	// LeftOutCPU and LineCPU are the cost of one event without and with a log line.
+	LeaseRenewalCPU   time.Duration
+	LeaseRenewalBytes float64
+	Exchange          []ExchangeCost
+	// UnloggedCPU and LoggedCPU are the cost of one event without and with a log line.
 	// LogBytes and LogBytesFailing are the log volume per second while all requests
 	// succeed and while all fail.
-	LeftOutCPU      time.Duration
-	LineCPU         time.Duration
+	UnloggedCPU     time.Duration
+	LoggedCPU       time.Duration
 	LogBytes        float64
 	LogBytesFailing float64
 }
--- a/internal/capacity/peers.go
+++ b/internal/capacity/peers.go
@@ -90,7 +90,7 @@
 			}
 		}
 		if s.discovered {
-			m.Rest = append(m.Rest, AtRest{
+			m.Idle = append(m.Idle, IdleCost{
 				Entries: s.zones * s.perZone, Core: max(0, r.core-single.core), Bytes: r.bytes, Memory: max(0, r.heap-single.heap),
 			})
 		}
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// AtRest is the cost of the links to all other entries for one idle entry.
-type AtRest struct {
+// IdleCost is the cost of the links to all other entries for one idle entry.
+type IdleCost struct {
 	Entries int
 	Core    float64
 	Bytes   float64
@@ -108,9 +108,9 @@
 }
 
 // nearestAtRest returns the measurement whose number of entries is nearest to n.
-func (m *Slopes) nearestAtRest(n int) AtRest {
-	var best AtRest
-	for _, r := range m.Rest {
+func (m *Slopes) nearestAtRest(n int) IdleCost {
+	var best IdleCost
+	for _, r := range m.Idle {
 		if best.Entries == 0 || abs(r.Entries-n) < abs(best.Entries-n) {
 			best = r
 		}
--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -61,9 +61,9 @@
 // Cost is the cost of one mechanism in one daemon at a given size.
 type Cost struct {
 	What string
-	// Core is processor time in cores. Bytes is the network traffic, sent and
+	// Cores is processor time in cores. Bytes is the network traffic, sent and
 	// received, in bytes per second. Memory is in bytes.
-	Core   float64
+	Cores  float64
 	Bytes  float64
 	Memory float64
 	// Mechanism describes what causes the cost.
@@ -74,7 +74,7 @@
 func Sum(costs []Cost) Cost {
 	sum := Cost{What: "sum"}
 	for _, c := range costs {
-		sum.Core += c.Core
+		sum.Cores += c.Cores
 		sum.Bytes += c.Bytes
 		sum.Memory += c.Memory
 	}
@@ -85,36 +85,36 @@
 func Control(s *Size, m *Slopes) []Cost {
 	rest, known := m.nearestAtRest(s.Entries), m.nearestExchange(s.Entries)
 	return []Cost{
-		{What: "the process itself", Core: m.BaseCore, Memory: m.BaseMemory, Mechanism: "one process, no work yet, the ring's slots allotted"},
+		{What: "the process itself", Cores: m.BaseCore, Memory: m.BaseMemory, Mechanism: "one process, no work yet, the ring's slots allotted"},
 		{
-			What: "targets' leases", Core: s.RenewalsPerEntry() * m.RenewalCPU.Seconds(),
+			What: "targets' leases", Cores: s.RenewalsPerEntry() * m.RenewalCPU.Seconds(),
 			Bytes: s.RenewalsPerEntry() * (m.RenewalBytes + m.ForwardBytes), Memory: s.TargetsPerEntry() * m.TargetBytes,
 			Mechanism: "each target announces to its zone, one entry holds it (rendezvous hash)",
 		},
 		{
-			What: "lapsed leases", Core: s.TargetsPerEntry() * m.ExpireCPU.Seconds() * expiryScansPerSecond,
+			What: "lapsed leases", Cores: s.TargetsPerEntry() * m.ExpireCPU.Seconds() * expiryScansPerSecond,
 			Mechanism: "one scan of the held leases each 250 ms",
 		},
 		{
-			What: "links and heartbeats", Core: rest.Core, Bytes: rest.Bytes, Memory: rest.Memory,
+			What: "links and heartbeats", Cores: rest.Core, Bytes: rest.Bytes, Memory: rest.Memory,
 			Mechanism: fmt.Sprintf("one message a peer and interval, loads and digest on it; measured with %d entries found through seeds", rest.Entries),
 		},
 		{
-			What: "discovery", Core: exchangesPerSecond * known.CPU.Seconds() / 2, Bytes: exchangesPerSecond * known.Bytes,
+			What: "discovery", Cores: exchangesPerSecond * known.CPU.Seconds() / 2, Bytes: exchangesPerSecond * known.Bytes,
 			Mechanism: fmt.Sprintf("an exchange with one entry each 2 s, asked and answered; measured with %d entries", known.Entries),
 		},
 		{
-			What: "leases of runs", Core: s.TargetsPerEntry() * leaseRenewalsPerSecond * m.LookCPU.Seconds(),
-			Bytes:     s.TargetsPerEntry() * leaseRenewalsPerSecond * m.LookBytes,
+			What: "leases of runs", Cores: s.TargetsPerEntry() * leaseRenewalsPerSecond * m.LeaseRenewalCPU.Seconds(),
+			Bytes:     s.TargetsPerEntry() * leaseRenewalsPerSecond * m.LeaseRenewalBytes,
 			Mechanism: "one renewal a busy target for all its runs, which waits there for their ends; none where nothing runs",
 		},
 		{
-			What: "configuration", Core: s.ChangesPerSecond() * m.ParseCPU.Seconds(),
+			What: "configuration", Cores: s.ChangesPerSecond() * m.ParseCPU.Seconds(),
 			Bytes: s.ChangesPerSecond() * m.ConfigBytes, Memory: m.ConfigMemory,
 			Mechanism: "digest on heartbeats, pull of the whole file, one register",
 		},
 		{
-			What: "time line", Core: s.StartsPerEntry() * eventsPerTask * m.EventCPU.Seconds(), Memory: max(0, m.RingMemory-m.EmptyRing),
+			What: "time line", Cores: s.StartsPerEntry() * eventsPerTask * m.EventCPU.Seconds(), Memory: max(0, m.RingMemory-m.EmptyRing),
 			Mechanism: "bounded ring, read only when asked; its texts",
 		},
 	}
@@ -148,18 +148,18 @@
 	jobs := s.StartsPerEntry() / s.TasksPerJob
 	return []Cost{
 		{
-			What: "tasks through one entry, both ends and callers included", Core: s.StartsPerEntry() * m.TaskCPU.Seconds(),
+			What: "tasks through one entry, both ends and callers included", Cores: s.StartsPerEntry() * m.TaskCPU.Seconds(),
 			Mechanism: "HTTP to the target on kept connections",
 		},
 		{
-			What: "of that: choice of task and target", Core: s.StartsPerEntry() * m.ScheduleCPU.Seconds(),
+			What: "of that: choice of task and target", Cores: s.StartsPerEntry() * m.ScheduleCPU.Seconds(),
 			Mechanism: "heaps by pool; one lock a pool",
 		},
-		{What: "of that: split of jobs over holders", Core: jobs * m.SplitCPU.Seconds(), Mechanism: "one message a holder a job"},
-		{What: "of that: teams' quotas", Core: jobs * m.QuotaCPU.Seconds(), Mechanism: "one bucket a team and entry"},
+		{What: "of that: split of jobs over holders", Cores: jobs * m.SplitCPU.Seconds(), Mechanism: "one message a holder a job"},
+		{What: "of that: teams' quotas", Cores: jobs * m.QuotaCPU.Seconds(), Mechanism: "one bucket a team and entry"},
 		{
 			What:      "log",
-			Core:      (s.StartsPerEntry()*eventsPerTask+jobs*eventsPerJob)*m.LeftOutCPU.Seconds() + logLinesPerSecond*m.LineCPU.Seconds(),
+			Cores:     (s.StartsPerEntry()*eventsPerTask+jobs*eventsPerJob)*m.UnloggedCPU.Seconds() + logLinesPerSecond*m.LoggedCPU.Seconds(),
 			Bytes:     m.LogBytes,
 			Mechanism: "a budget of lines by kind, ids of the rest; the bytes go to the log's reader, not to other entries",
 		},
--- a/internal/capacity/write.go
+++ b/internal/capacity/write.go
@@ -30,7 +30,7 @@
 	for _, c := range append(costs, Sum(costs)) {
 		c.writeRow(&out)
 	}
-	Cost{What: "budget", Core: BudgetCore, Bytes: BudgetBytes, Memory: BudgetMemory}.writeRow(&out)
+	Cost{What: "budget", Cores: BudgetCore, Bytes: BudgetBytes, Memory: BudgetMemory}.writeRow(&out)
 	out.WriteString("\n| work, each entry at the peak | % of a core | bytes a second | MB | carried by |\n|---|---|---|---|---|\n")
 	for _, c := range Work(s, m) {
 		c.writeRow(&out)
@@ -40,5 +40,5 @@
 }
 
 func (c Cost) writeRow(out *strings.Builder) {
-	fmt.Fprintf(out, "| %s | %.2f | %.0f | %.1f | %s |\n", c.What, 100*c.Core, c.Bytes, c.Memory/(1<<20), c.Mechanism)
+	fmt.Fprintf(out, "| %s | %.2f | %.0f | %.1f | %s |\n", c.What, 100*c.Cores, c.Bytes, c.Memory/(1<<20), c.Mechanism)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -67,7 +67,7 @@
 	opts      Options
 	removeDir bool
 	// Ledger records the task starts at all targets.
-	Ledger  *standin.Ledger
+	Ledger  *standin.StartTracker
 	links   map[linkEnds]*link
 	entries []*member
 	targets []*runningTarget
@@ -116,7 +116,7 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	f := &Fleet{opts: o, Ledger: standin.NewLedger()}
+	f := &Fleet{opts: o, Ledger: standin.NewStartTracker()}
 	if err := f.makeDir(); err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -341,7 +341,7 @@
 	o.Zone = zone
 	o.Rack = fmt.Sprintf("%s-r%d", zone, i/max(1, f.opts.TargetsPerRack))
 	o.Entries = f.CallerAddresses(zone)
-	o.Ledger = f.Ledger
+	o.Starts = f.Ledger
 	o.Log = f.opts.Log
 	if f.opts.Change != nil {
 		f.opts.Change(index, &o)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -190,10 +190,10 @@
 // An operator drains a target while it runs tasks. These tasks must end with
 // their results, and no task may be started on the target after its withdrawal.
 func TestDrainingTargetFinishesAndStartsNothing(t *testing.T) {
-	ledgers := map[int]*standin.Ledger{}
+	ledgers := map[int]*standin.StartTracker{}
 	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 1, TargetsPerZone: 2, Change: func(i int, o *standin.Options) {
-		ledgers[i] = standin.NewLedger()
-		o.Ledger = ledgers[i]
+		ledgers[i] = standin.NewStartTracker()
+		o.Starts = ledgers[i]
 	}})
 	address := f.CallerAddresses("")[0]
 	done := make(chan *reply)
@@ -239,8 +239,8 @@
 	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 3, TargetsPerZone: 2, Change: func(_ int, o *standin.Options) {
 		o.Entries = o.Entries[:1]
 	}})
-	ledger := standin.NewLedger()
-	leaving, err := standin.New(standin.Options{ID: "leaving", Service: testPool, Zone: "a", Ledger: ledger})
+	tracker := standin.NewStartTracker()
+	leaving, err := standin.New(standin.Options{ID: "leaving", Service: testPool, Zone: "a", Starts: tracker})
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { _ = leaving.Kill() }()
 	addresses := f.CallerAddresses("")
@@ -263,7 +263,7 @@
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, r.status, qt.Equals, http.StatusOK, qt.Commentf("%+v", r.other))
 	}
-	qt.Assert(t, ledger.Starts(), qt.Equals, uint64(0))
+	qt.Assert(t, tracker.Starts(), qt.Equals, uint64(0))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
--- a/internal/holder/loopback_test.go
+++ b/internal/holder/loopback_test.go
@@ -17,12 +17,12 @@
 	"github.com/vanillagrade/vanillagrade/internal/target"
 )
 
-// standins runs n stand-in targets that share a ledger, and a holder that holds
+// standins runs n stand-in targets that share a tracker, and a holder that holds
 // them.
 func standins(tb testing.TB, n int, opts standin.Options) (*Holder, []*standin.Target) {
 	tb.Helper()
-	if opts.Ledger == nil {
-		opts.Ledger = standin.NewLedger()
+	if opts.Starts == nil {
+		opts.Starts = standin.NewStartTracker()
 	}
 	// Admission is off so that the whole load of a test reaches the targets.
 	h := New(Options{Self: owner, Config: config.Fixed{File: file}, Client: target.NewClient(target.ClientOptions{}), Scheduler: scheduler.Options{NoAdmission: true}})
@@ -57,8 +57,8 @@
 // while they run. No target may run more tasks or have more connections than it
 // announced, and no task may start twice.
 func TestLimitsAndSingleStartsOverLoopback(t *testing.T) {
-	ledger := standin.NewLedger()
-	h, targets := standins(t, 3, standin.Options{Slots: 4, Connections: 6, Ledger: ledger})
+	tracker := standin.NewStartTracker()
+	h, targets := standins(t, 3, standin.Options{Slots: 4, Connections: 6, Starts: tracker})
 	var all sync.WaitGroup
 	sums := make([]reports, 30)
 	for i := range sums {
@@ -93,16 +93,16 @@
 		qt.Check(t, c.MaxConcurrent <= 4, qt.IsTrue, qt.Commentf("%+v", c))
 		qt.Check(t, c.MaxConnections <= 6, qt.IsTrue, qt.Commentf("%+v", c))
 	}
-	qt.Check(t, ledger.DoubledStarts(), qt.Equals, uint64(0))
-	qt.Check(t, ledger.Starts() >= 18*40, qt.IsTrue)
+	qt.Check(t, tracker.DoubledStarts(), qt.Equals, uint64(0))
+	qt.Check(t, tracker.Starts() >= 18*40, qt.IsTrue)
 }
 
 // A caller cancels while the connection for the start request is still being opened.
 // The stop request, on another connection, arrives first and finds no task. The task
 // must not start afterwards, since it would run to its end without a caller.
 func TestCancelledBeforeTheStartIsSent(t *testing.T) {
-	ledger := standin.NewLedger()
-	_, targets := standins(t, 1, standin.Options{Slots: 4, Ledger: ledger})
+	tracker := standin.NewStartTracker()
+	_, targets := standins(t, 1, standin.Options{Slots: 4, Starts: tracker})
 	dialling, open := make(chan struct{}, 8), make(chan struct{})
 	client := target.NewClient(target.ClientOptions{Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 		dialling <- struct{}{}
@@ -118,7 +118,7 @@
 	h.Cancel(owner, "j")
 	close(open)
 	qt.Assert(t, h.Drain(t.Context()), qt.IsNil)
-	qt.Assert(t, ledger.Starts(), qt.Equals, uint64(0))
+	qt.Assert(t, tracker.Starts(), qt.Equals, uint64(0))
 	var after reports
 	h2 := New(Options{Self: owner, Config: config.Fixed{File: file}, Client: client})
 	t.Cleanup(h2.Close)
@@ -138,8 +138,8 @@
 		<-release
 		return []byte("1"), nil
 	}
-	ledger := standin.NewLedger()
-	h, targets := standins(t, 2, standin.Options{Slots: 4, Work: work, Ledger: ledger})
+	tracker := standin.NewStartTracker()
+	h, targets := standins(t, 2, standin.Options{Slots: 4, Work: work, Starts: tracker})
 	sums := make([]reports, 20)
 	for i := range sums {
 		h.Offer(batchOf(job.ID(fmt.Sprint(i)), 1), sums[i].add)
@@ -161,22 +161,22 @@
 		}
 	}
 	qt.Check(t, total, qt.DeepEquals, tally{"done": 16, "erred target_lost": 4})
-	qt.Check(t, ledger.DoubledStarts(), qt.Equals, uint64(0))
-	qt.Check(t, ledger.Starts(), qt.Equals, uint64(20))
+	qt.Check(t, tracker.DoubledStarts(), qt.Equals, uint64(0))
+	qt.Check(t, tracker.Starts(), qt.Equals, uint64(20))
 }
 
 // A target announces more slots than it has, and refuses the excess tasks as not
 // started. No job may fail because of that.
 func TestTargetThatOverstatesItsSlots(t *testing.T) {
-	ledger := standin.NewLedger()
-	h, targets := standins(t, 2, standin.Options{Slots: 4, Ledger: ledger})
+	tracker := standin.NewStartTracker()
+	h, targets := standins(t, 2, standin.Options{Slots: 4, Starts: tracker})
 	overstated := announcement(targets[0], standin.Options{ID: "t0", Slots: 16, Connections: 64})
 	h.SetTarget(overstated)
 	var r reports
 	h.Offer(payloads(batchOf("j", 60), `{"sleep_ms":5}`), r.add)
 	qt.Assert(t, h.Drain(t.Context()), qt.IsNil)
 	qt.Check(t, r.tally(), qt.DeepEquals, tally{"done": 60})
-	qt.Check(t, ledger.DoubledStarts(), qt.Equals, uint64(0))
+	qt.Check(t, tracker.DoubledStarts(), qt.Equals, uint64(0))
 	qt.Check(t, targets[0].MaxConcurrent() <= 4, qt.IsTrue)
 }
 
--- a/internal/load/exchange.go
+++ b/internal/load/exchange.go
@@ -162,7 +162,7 @@
 	}
 	for i, result := range answer.Results {
 		if result.Task != i {
-			r.collector.recordFault(&r.collector.checks.Crossed, fmt.Sprintf("job %s: result %d is at position %d", r.jobID(a), result.Task, i))
+			r.collector.recordFault(&r.collector.checks.Misdelivered, fmt.Sprintf("job %s: result %d is at position %d", r.jobID(a), result.Task, i))
 		}
 		r.checkEcho(a, result.Task, result.Payload)
 	}
@@ -171,7 +171,7 @@
 
 func (r *runner) checkSingleAnswer(a *Arrival, header http.Header, body []byte) jobResult {
 	if got := header.Get(api.HeaderID); got != r.jobID(a) {
-		r.collector.recordFault(&r.collector.checks.Crossed, fmt.Sprintf("request %s: the answer's id is %q", r.jobID(a), got))
+		r.collector.recordFault(&r.collector.checks.Misdelivered, fmt.Sprintf("request %s: the answer's id is %q", r.jobID(a), got))
 	}
 	r.checkEcho(a, 0, body)
 	return jobResult{outcome: outcomeComplete, late: header.Get(api.HeaderLate) == "true"}
@@ -181,7 +181,7 @@
 	var got echo
 	err := json.Unmarshal(result, &got)
 	if want := r.nonce(a, task); err != nil || got.Nonce != want {
-		r.collector.recordFault(&r.collector.checks.Crossed, fmt.Sprintf("task %s: its result carries nonce %q", want, got.Nonce))
+		r.collector.recordFault(&r.collector.checks.Misdelivered, fmt.Sprintf("task %s: its result carries nonce %q", want, got.Nonce))
 	}
 }
 
@@ -197,7 +197,7 @@
 		return r.unreadable(a, errors.Errorf("status %d with outcome %q", status, answer.Outcome))
 	}
 	if answer.ID != "" && string(answer.ID) != r.jobID(a) {
-		r.collector.recordFault(&r.collector.checks.Crossed, fmt.Sprintf("job %s: the answer's id is %q", r.jobID(a), answer.ID))
+		r.collector.recordFault(&r.collector.checks.Misdelivered, fmt.Sprintf("job %s: the answer's id is %q", r.jobID(a), answer.ID))
 	}
 	return jobResult{
 		outcome: string(answer.Outcome),
--- a/internal/load/hindsight.go
+++ b/internal/load/hindsight.go
@@ -16,8 +16,8 @@
 	// Plan is the goodput of a greedy plan that doesn't split tasks. A better plan
 	// may exist.
 	Plan float64 `json:"plan_slots"`
-	// Most is an upper bound on the goodput of any plan.
-	Most float64 `json:"most_slots"`
+	// UpperBound is an upper bound on the goodput of any plan.
+	UpperBound float64 `json:"most_slots"`
 	// Known is false if the fleet's slots are unknown or too many tasks arrive.
 	Known bool `json:"known"`
 }
@@ -39,7 +39,7 @@
 	}
 	_, served := bound.Plan(jobs, slots)
 	seconds := spec.Duration.Seconds()
-	return Hindsight{Plan: served / seconds, Most: bound.Fluid(jobs, float64(slots)) / seconds, Known: true}
+	return Hindsight{Plan: served / seconds, UpperBound: bound.Fluid(jobs, float64(slots)) / seconds, Known: true}
 }
 
 // plannerJob converts an arrival into a job for the planner. Its value is its work, up
--- a/internal/load/hindsight_test.go
+++ b/internal/load/hindsight_test.go
@@ -22,8 +22,8 @@
 	qt.Assert(t, err, qt.IsNil)
 	h := hindsight(&spec)
 	qt.Assert(t, h.Known, qt.IsTrue)
-	qt.Assert(t, h.Plan > 8 && h.Plan <= h.Most, qt.IsTrue, qt.Commentf("%+v", h))
-	qt.Assert(t, h.Most <= 10.1, qt.IsTrue, qt.Commentf("%+v", h))
+	qt.Assert(t, h.Plan > 8 && h.Plan <= h.UpperBound, qt.IsTrue, qt.Commentf("%+v", h))
+	qt.Assert(t, h.UpperBound <= 10.1, qt.IsTrue, qt.Commentf("%+v", h))
 	spec.Fleet = Fleet{}
 	qt.Assert(t, hindsight(&spec).Known, qt.IsFalse)
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -199,7 +199,7 @@
 	report, err := Run(t.Context(), spec, Options{Entries: []string{address}, Targets: []string{address}, Operators: []string{address}})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, report.Total.Complete, qt.Equals, jobs)
-	qt.Assert(t, report.Checks.Good(), qt.IsTrue)
+	qt.Assert(t, report.Checks.Passed(), qt.IsTrue)
 	qt.Assert(t, report.Checks.TargetsCounted, qt.IsTrue)
 	qt.Assert(t, report.Checks.Starts, qt.Equals, uint64(report.Checks.Tasks))
 	qt.Assert(t, report.Messages.Useful, qt.Equals, int64(10))
@@ -218,7 +218,7 @@
 // tool must detect each case, or it would report a wrong answer as a good and
 // fast one.
 func TestRunDetectsWrongAnswers(t *testing.T) {
-	count := func(c Checks) []int { return []int{c.Crossed, c.Partial, c.Unreadable} }
+	count := func(c Checks) []int { return []int{c.Misdelivered, c.Partial, c.Unreadable} }
 	for name, test := range map[string]struct {
 		change func(*api.CompleteAnswer)
 		want   []int
@@ -254,7 +254,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, report.Checks.UnexplainedStarts, qt.Equals, int64(report.Checks.Tasks))
 	qt.Assert(t, report.Total.Refused, qt.DeepEquals, map[string]int{"overloaded": report.Total.Jobs})
-	qt.Assert(t, report.Checks.Good(), qt.IsFalse)
+	qt.Assert(t, report.Checks.Passed(), qt.IsFalse)
 }
 
 func TestRunStaysOnLoopback(t *testing.T) {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -42,8 +42,8 @@
 type Checks struct {
 	Jobs  int `json:"jobs"`
 	Tasks int `json:"tasks"`
-	// Crossed counts results that belong to another task or job.
-	Crossed int `json:"crossed"`
+	// Misdelivered counts results that belong to another task or job.
+	Misdelivered int `json:"crossed"`
 	// Partial counts complete answers that lack a result.
 	Partial int `json:"partial"`
 	// Unreadable counts answers that match no form of the API.
@@ -66,10 +66,10 @@
 	Examples []string `json:"examples,omitempty"`
 }
 
-// Good reports whether no result was wrong or missing, no answer unreadable, and
+// Passed reports whether no result was wrong or missing, no answer unreadable, and
 // no start doubled or unexplained.
-func (c *Checks) Good() bool {
-	return c.Crossed == 0 && c.Partial == 0 && c.Unreadable == 0 && c.DoubledStarts == 0 && c.UnexplainedStarts == 0
+func (c *Checks) Passed() bool {
+	return c.Misdelivered == 0 && c.Partial == 0 && c.Unreadable == 0 && c.DoubledStarts == 0 && c.UnexplainedStarts == 0
 }
 
 // Group holds the statistics of a subset of the jobs.
--- a/internal/load/spec.go
+++ b/internal/load/spec.go
@@ -68,10 +68,10 @@
 	Failing int         `yaml:"failing"`
 }
 
-// SlowTargets makes tasks run Times as long on the first Count targets.
+// SlowTargets makes tasks run Factor as long on the first Count targets.
 type SlowTargets struct {
-	Count int     `yaml:"count"`
-	Times float64 `yaml:"times"`
+	Count  int     `yaml:"count"`
+	Factor float64 `yaml:"times"`
 }
 
 // Capacity returns the slots of all targets.
--- a/internal/load/write.go
+++ b/internal/load/write.go
@@ -54,13 +54,13 @@
 		fmt.Fprintln(out, "in hindsight: not planned, since the slots are not known or there are too many tasks")
 		return
 	}
-	fmt.Fprintf(out, "in hindsight: a plan serves %.1f slots in time (ours %.2f of it), none more than %.1f\n", h.Plan, r.Total.Goodput/max(h.Plan, 1e-9), h.Most)
+	fmt.Fprintf(out, "in hindsight: a plan serves %.1f slots in time (ours %.2f of it), none more than %.1f\n", h.Plan, r.Total.Goodput/max(h.Plan, 1e-9), h.UpperBound)
 }
 
 func (r *Report) writeChecks(out *strings.Builder) {
 	c := &r.Checks
 	fmt.Fprintf(out, "checks over %d jobs, %d tasks: crossed %d, partial %d, unreadable %d, unanswered %d, not sent %d\n",
-		c.Jobs, c.Tasks, c.Crossed, c.Partial, c.Unreadable, c.Unanswered, c.NotSent)
+		c.Jobs, c.Tasks, c.Misdelivered, c.Partial, c.Unreadable, c.Unanswered, c.NotSent)
 	if c.TargetsCounted {
 		fmt.Fprintf(out, "targets: %d starts, %d doubled, %d of jobs reported as not run\n", c.Starts, c.DoubledStarts, c.UnexplainedStarts)
 	} else {
@@ -69,7 +69,7 @@
 	for _, e := range c.Examples {
 		fmt.Fprintf(out, "  %s\n", e)
 	}
-	if !c.Good() {
+	if !c.Passed() {
 		fmt.Fprintln(out, "WRONG: a check of the answers or starts failed")
 	}
 }
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -108,7 +108,7 @@
 	}
 	t.ledger.recordStart(key)
 	if _, alreadyRunning := t.running[key]; alreadyRunning {
-		// The ledger has already counted the doubled start. Replacing the map
+		// The tracker has already counted the doubled start. Replacing the map
 		// entry would free the slot of the first start too early.
 		t.refused++
 		return nil, http.StatusConflict
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -56,9 +56,9 @@
 	Speed float64
 	// FailAll makes each task fail immediately.
 	FailAll bool
-	// Ledger records starts. Stand-ins may share a ledger, which then also
+	// Starts records starts. Stand-ins may share a tracker, which then also
 	// detects a task that is started on two of them.
-	Ledger *Ledger
+	Starts *StartTracker
 	Client *http.Client
 	Log    *slog.Logger
 }
@@ -68,7 +68,7 @@
 	opts     Options
 	listener net.Listener
 	server   *http.Server
-	ledger   *Ledger
+	ledger   *StartTracker
 
 	mu          sync.Mutex
 	running     map[taskKey]context.CancelFunc
@@ -98,7 +98,7 @@
 	t := &Target{
 		opts:        opts,
 		listener:    l,
-		ledger:      opts.Ledger,
+		ledger:      opts.Starts,
 		running:     make(map[taskKey]context.CancelFunc),
 		unusedConns: make(map[net.Conn]struct{}),
 	}
@@ -125,8 +125,8 @@
 	if o.Speed == 0 {
 		o.Speed = 1
 	}
-	if o.Ledger == nil {
-		o.Ledger = NewLedger()
+	if o.Starts == nil {
+		o.Starts = NewStartTracker()
 	}
 	if o.Client == nil {
 		o.Client = &http.Client{Timeout: announceTimeout}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -93,10 +93,10 @@
 }
 
 func TestBuiltInWorkAndDoubledStarts(t *testing.T) {
-	ledger := NewLedger()
+	tracker := NewStartTracker()
 	var addrs []string
 	for _, id := range []job.TargetID{"t1", "t2"} {
-		s, err := New(Options{ID: id, Ledger: ledger})
+		s, err := New(Options{ID: id, Starts: tracker})
 		qt.Assert(t, err, qt.IsNil)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan struct{})
@@ -111,6 +111,6 @@
 	a.RanMillis = 0
 	qt.Assert(t, a, qt.Equals, Answer{Task: "a%2Fb/3", Target: "t1", Filling: "xxxxx"})
 	qt.Assert(t, post(t, addrs[1], "/v1/tasks/a%2Fb/3", `{"fail":true}`).StatusCode, qt.Equals, http.StatusInternalServerError)
-	qt.Assert(t, ledger.Starts(), qt.Equals, uint64(2))
-	qt.Assert(t, ledger.DoubledStarts(), qt.Equals, uint64(1))
+	qt.Assert(t, tracker.Starts(), qt.Equals, uint64(2))
+	qt.Assert(t, tracker.DoubledStarts(), qt.Equals, uint64(1))
 }
--- a/internal/standin/ledger.go
+++ b/internal/standin/starttracker.go
@@ -6,7 +6,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/job"
 )
 
-// maxGenerationTasks bounds the tasks in one generation of a ledger. Two
+// maxGenerationTasks bounds the tasks in one generation of a tracker. Two
 // generations at about 100 bytes per task keep a stand-in that runs for days
 // under about 100 MB. A second start is detected among the last half million
 // tasks.
@@ -17,8 +17,8 @@
 	index      int
 }
 
-// Ledger records the starts of tasks and detects a task that is started twice.
-type Ledger struct {
+// StartTracker records the starts of tasks and detects a task that is started twice.
+type StartTracker struct {
 	mu            sync.Mutex
 	starts        uint64
 	doubledStarts uint64
@@ -26,10 +26,10 @@
 	previous      map[taskKey]struct{}
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{current: make(map[taskKey]struct{})} }
+// NewStartTracker returns an empty tracker.
+func NewStartTracker() *StartTracker { return &StartTracker{current: make(map[taskKey]struct{})} }
 
-func (l *Ledger) recordStart(key taskKey) {
+func (l *StartTracker) recordStart(key taskKey) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.starts++
@@ -45,28 +45,28 @@
 }
 
 // Starts returns the number of task starts.
-func (l *Ledger) Starts() uint64 {
+func (l *StartTracker) Starts() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.starts
 }
 
 // DoubledStarts returns the number of repeated starts of a task.
-func (l *Ledger) DoubledStarts() uint64 {
+func (l *StartTracker) DoubledStarts() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.doubledStarts
 }
 
-// Started reports whether a task was started, within the tasks that the ledger
+// Started reports whether a task was started, within the tasks that the tracker
 // remembers.
-func (l *Ledger) Started(submission job.ID, index int) bool {
+func (l *StartTracker) Started(submission job.ID, index int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.contains(taskKey{submission, index})
 }
 
-func (l *Ledger) contains(key taskKey) bool {
+func (l *StartTracker) contains(key taskKey) bool {
 	_, inRecent := l.current[key]
 	_, inOlder := l.previous[key]
 	return inRecent || inOlder
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -23,8 +23,8 @@
 	Scheduler scheduler.Options
 }
 
-// Ours returns the policy with all scheduling features enabled.
-func Ours() Policy { return Policy{Name: "ours"} }
+// FullPolicy returns the policy with all scheduling features enabled.
+func FullPolicy() Policy { return Policy{Name: "ours"} }
 
 // Baselines returns simpler policies for comparison.
 func Baselines() []Policy {
@@ -94,7 +94,7 @@
 	return load.Run(ctx, spec, load.Options{
 		Entries:   running.CallerAddresses(""),
 		Operators: running.OperatorAddresses(),
-		// All stand-ins share one ledger, so one of them returns the counts of all.
+		// All stand-ins share one tracker, so one of them returns the counts of all.
 		Targets: running.TargetAddresses()[:1],
 		Policy:  policy.Name,
 	})
@@ -124,7 +124,7 @@
 	return func(index int, o *standin.Options) {
 		switch {
 		case index < f.Slow.Count:
-			o.Speed = 1 / f.Slow.Times
+			o.Speed = 1 / f.Slow.Factor
 		case index < f.Slow.Count+f.Failing:
 			o.FailAll = true
 		}
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -16,11 +16,11 @@
 	qt.Assert(t, err, qt.IsNil)
 	spec.Duration, spec.Warmup = 400*time.Millisecond, 0
 	spec.Fleet.Zones, spec.Fleet.Entries = []string{"a", "b"}, 2
-	reports, err := Run(t.Context(), spec, []Policy{Ours(), Baselines()[0]})
+	reports, err := Run(t.Context(), spec, []Policy{FullPolicy(), Baselines()[0]})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, reports, qt.HasLen, 2)
 	for _, r := range reports {
-		qt.Assert(t, r.Checks.Good(), qt.IsTrue, qt.Commentf("%+v", r.Checks))
+		qt.Assert(t, r.Checks.Passed(), qt.IsTrue, qt.Commentf("%+v", r.Checks))
 		qt.Assert(t, r.Checks.TargetsCounted, qt.IsTrue)
 		qt.Assert(t, r.Messages.Counted, qt.IsTrue)
 		qt.Assert(t, r.Checks.Jobs, qt.Equals, reports[0].Checks.Jobs)
