--- a/internal/api/budget.go
+++ b/internal/api/budget.go
@@ -13,9 +13,9 @@
 // NewByteBudget returns a budget of limit bytes.
 func NewByteBudget(limit int64) *ByteBudget { return &ByteBudget{limit: limit} }
 
-// Take reserves n bytes. It reports false, and reserves nothing, if fewer than n
+// Reserve reserves n bytes. It reports false, and reserves nothing, if fewer than n
 // bytes are free.
-func (b *ByteBudget) Take(n int64) bool {
+func (b *ByteBudget) Reserve(n int64) bool {
 	if b.used.Add(n) <= b.limit {
 		return true
 	}
@@ -23,8 +23,8 @@
 	return false
 }
 
-// Give releases n reserved bytes.
-func (b *ByteBudget) Give(n int64) { b.used.Add(-n) }
+// Release releases n reserved bytes.
+func (b *ByteBudget) Release(n int64) { b.used.Add(-n) }
 
 // Used returns the number of reserved bytes.
 func (b *ByteBudget) Used() int64 { return b.used.Load() }
--- a/internal/api/caller.go
+++ b/internal/api/caller.go
@@ -38,8 +38,8 @@
 type Dispatcher interface {
 	// Submit runs s and returns its answer. ctx ends when the caller hangs up.
 	Submit(ctx context.Context, s *job.Submission) job.Answer
-	// Look returns the status of a submission.
-	Look(ctx context.Context, id job.ID) (JobStatus, bool)
+	// Status returns the status of a submission.
+	Status(ctx context.Context, id job.ID) (JobStatus, bool)
 	// Cancel cancels a submission and reports whether it was running.
 	Cancel(ctx context.Context, id job.ID) bool
 	// Ready returns an error if the load balancer should not send callers here.
@@ -140,7 +140,7 @@
 
 func (c *Caller) getJob(w http.ResponseWriter, r *http.Request) {
 	id := job.ID(r.PathValue("id"))
-	status, ok := c.Dispatcher.Look(r.Context(), id)
+	status, ok := c.Dispatcher.Status(r.Context(), id)
 	if !ok {
 		writeJSON(w, http.StatusNotFound, JobStatus{ID: id, State: "unknown"})
 		return
@@ -177,10 +177,10 @@
 	if reserved < 0 {
 		reserved = limit
 	}
-	if !c.Memory.Take(reserved) {
+	if !c.Memory.Reserve(reserved) {
 		return nil, release, refuse(job.Overloaded, "the memory for the bodies of submissions is exhausted", time.Second)
 	}
-	release = func() { c.Memory.Give(reserved) }
+	release = func() { c.Memory.Release(reserved) }
 	body, err := readBodyInTime(w, r, limit)
 	var tooLarge *http.MaxBytesError
 	switch {
--- a/internal/api/caller_test.go
+++ b/internal/api/caller_test.go
@@ -33,9 +33,9 @@
 	return a
 }
 
-func (e *echo) Look(context.Context, job.ID) (JobStatus, bool) { return JobStatus{}, false }
-func (e *echo) Cancel(context.Context, job.ID) bool            { return false }
-func (e *echo) Ready() error                                   { return nil }
+func (e *echo) Status(context.Context, job.ID) (JobStatus, bool) { return JobStatus{}, false }
+func (e *echo) Cancel(context.Context, job.ID) bool              { return false }
+func (e *echo) Ready() error                                     { return nil }
 
 func newCaller(d Dispatcher) *Caller {
 	file := &config.File{Limits: config.Limits{MaxJobBytes: 1 << 10, MaxJobTasks: 4}}
@@ -82,7 +82,7 @@
 				return
 			}
 			qt.Assert(t, w.Header().Get(HeaderRun), qt.Equals, "not-run")
-			var body OtherAnswer
+			var body IncompleteAnswer
 			qt.Assert(t, json.Unmarshal(w.Body.Bytes(), &body), qt.IsNil)
 			qt.Assert(t, body.Detail, qt.Not(qt.Equals), "")
 		})
@@ -95,7 +95,7 @@
 func TestBodiesShareABoundedMemory(t *testing.T) {
 	c := newCaller(&echo{})
 	c.Memory = NewByteBudget(100)
-	qt.Assert(t, c.Memory.Take(60), qt.IsTrue)
+	qt.Assert(t, c.Memory.Reserve(60), qt.IsTrue)
 	r := httptest.NewRequest(http.MethodPost, "/v1/services/s", strings.NewReader(strings.Repeat("x", 50)))
 	w := httptest.NewRecorder()
 	c.Handler().ServeHTTP(w, r)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -42,7 +42,7 @@
 // read their answer.
 func Serve(ctx context.Context, s *http.Server, l net.Listener, drainTimeout time.Duration) error {
 	listener := newStopListener(l, s)
-	s.Handler = Closing(s.Handler, listener.stopping.Load)
+	s.Handler = CloseWhileDraining(s.Handler, listener.stopping.Load)
 	failed := make(chan error, 1)
 	go func() { failed <- s.Serve(listener) }()
 	select {
--- a/internal/api/stop.go
+++ b/internal/api/stop.go
@@ -20,11 +20,11 @@
 	// maxPendingConns bounds the connections that a stopping listener still
 	// accepts: the kernel's queue holds at most 4,096.
 	maxPendingConns = 4096
-	// LastRequestTime is how long a stopping server still accepts requests on open
+	// LastRequestGrace is how long a stopping server still accepts requests on open
 	// connections; their answers announce the end of the connection. It covers the
 	// few milliseconds that a request takes from a caller, and the tenth of a
 	// second for which a caller with a small share of a processor may be paused.
-	LastRequestTime = 150 * time.Millisecond
+	LastRequestGrace = 150 * time.Millisecond
 	// closePollInterval is how often a stopping server checks whether all
 	// connections are closed.
 	closePollInterval = 5 * time.Millisecond
@@ -206,11 +206,11 @@
 	}
 }
 
-// closeAll waits LastRequestTime for last requests, then closes each connection once
+// closeAll waits LastRequestGrace for last requests, then closes each connection once
 // it is idle. It returns when no connection is left or ctx ends. The shutdown of
 // http.Server would drop requests that it is just reading.
 func (l *stopListener) closeAll(ctx context.Context) {
-	lastRequests, cancel := context.WithTimeout(ctx, LastRequestTime)
+	lastRequests, cancel := context.WithTimeout(ctx, LastRequestGrace)
 	defer cancel()
 	if l.waitAllClosed(lastRequests) {
 		return
@@ -370,9 +370,9 @@
 	}
 }
 
-// Closing adds "Connection: close" to each answer written while draining reports true,
+// CloseWhileDraining adds "Connection: close" to each answer written while draining reports true,
 // so that callers reconnect to an entry that still serves.
-func Closing(next http.Handler, draining func() bool) http.Handler {
+func CloseWhileDraining(next http.Handler, draining func() bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(&closingWriter{ResponseWriter: w, draining: draining}, r)
 	})
--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -45,8 +45,8 @@
 	Results []TaskResult `json:"results"`
 }
 
-// OtherAnswer is the body of every answer whose outcome is not job.Complete.
-type OtherAnswer struct {
+// IncompleteAnswer is the body of every answer whose outcome is not job.Complete.
+type IncompleteAnswer struct {
 	ID           job.ID      `json:"id,omitempty"`
 	Outcome      job.Outcome `json:"outcome"`
 	Run          string      `json:"run"`
@@ -125,7 +125,7 @@
 func writeOther(w http.ResponseWriter, a *job.Answer) {
 	w.Header().Set(HeaderRun, a.Run.Header())
 	setRetryAfter(w, a.RetryAfter)
-	writeJSON(w, StatusCode(a), OtherAnswer{
+	writeJSON(w, StatusCode(a), IncompleteAnswer{
 		ID:           a.ID,
 		Outcome:      a.Outcome,
 		Run:          a.Run.String(),
--- a/internal/awake/awake.go
+++ b/internal/awake/awake.go
@@ -29,19 +29,19 @@
 	return now.Add(c.Suspended())
 }
 
-// Reading is a timestamp in nanoseconds that a process sends to another one and gets back.
+// Timestamp is a time in nanoseconds that a process sends to another one and gets back.
 // It is meaningful only to the incarnation of the process that created it.
-type Reading int64
+type Timestamp int64
 
-// Ruler converts times of a clock to Readings and back.
-type Ruler struct{ zero time.Time }
+// TimestampCodec converts times of a clock to Timestamps and back.
+type TimestampCodec struct{ zero time.Time }
 
-// NewRuler returns a Ruler whose Readings start at 1 for the time zero; a Reading of 0 means
+// NewTimestampCodec returns a TimestampCodec that gives Timestamp 1 to the time zero; 0 means
 // none.
-func NewRuler(zero time.Time) Ruler { return Ruler{zero} }
+func NewTimestampCodec(zero time.Time) TimestampCodec { return TimestampCodec{zero} }
 
-// Reading converts a time to a Reading.
-func (r Ruler) Reading(at time.Time) Reading { return Reading(max(at.Sub(r.zero), 0)) + 1 }
+// Encode converts a time to a Timestamp.
+func (r TimestampCodec) Encode(at time.Time) Timestamp { return Timestamp(max(at.Sub(r.zero), 0)) + 1 }
 
-// Time converts a Reading back to its time.
-func (r Ruler) Time(x Reading) time.Time { return r.zero.Add(time.Duration(x - 1)) }
+// Decode converts a Timestamp back to its time.
+func (r TimestampCodec) Decode(x Timestamp) time.Time { return r.zero.Add(time.Duration(x - 1)) }
--- a/internal/awake/awake_test.go
+++ b/internal/awake/awake_test.go
@@ -36,8 +36,8 @@
 
 func TestReadingsConvertBackToTheirTimes(t *testing.T) {
 	zero := time.Now()
-	r := NewRuler(zero)
+	r := NewTimestampCodec(zero)
 	at := zero.Add(1234567 * time.Microsecond)
-	qt.Assert(t, r.Time(r.Reading(at)).Equal(at), qt.IsTrue)
-	qt.Assert(t, r.Reading(zero), qt.Equals, Reading(1))
+	qt.Assert(t, r.Decode(r.Encode(at)).Equal(at), qt.IsTrue)
+	qt.Assert(t, r.Encode(zero), qt.Equals, Timestamp(1))
 }
--- a/internal/bound/bound.go
+++ b/internal/bound/bound.go
@@ -5,10 +5,10 @@
 // twice its capacity serves half at best. Compared with the bound, it shows how much better
 // decisions could still gain.
 //
-// The package computes three values. Fluid treats work as divisible at will, so no plan
-// exceeds it. Plan builds a plan greedily and keeps each task whole; a better plan may
+// The package computes three values. FractionalBound treats work as divisible at will, so no plan
+// exceeds it. GreedyPlan builds a plan greedily and keeps each task whole; a better plan may
 // exist, so a real run may exceed it. It leaves out jobs of little value, possibly a whole
-// kind of jobs. Even builds such a plan that serves all kinds alike.
+// kind of jobs. FairShares builds such a plan that serves all kinds alike.
 package bound
 
 import (
@@ -27,7 +27,7 @@
 	Runs []time.Duration
 	// Value is the value of an answer in time.
 	Value float64
-	// Kind is the group of the job; Even serves all kinds alike.
+	// Kind is the group of the job; FairShares serves all kinds alike.
 	Kind string
 }
 
@@ -43,8 +43,8 @@
 // valuePerSecond returns the job's value per second of slot time.
 func (j *Job) valuePerSecond() float64 { return j.Value / max(j.totalRunTime().Seconds(), 1e-9) }
 
-// Fluid returns an upper bound on the value of any plan for the given number of slots.
-func Fluid(jobs []Job, slots float64) float64 {
+// FractionalBound returns an upper bound on the value of any plan for the given number of slots.
+func FractionalBound(jobs []Job, slots float64) float64 {
 	if len(jobs) == 0 {
 		return 0
 	}
@@ -66,9 +66,9 @@
 	return value
 }
 
-// Plan returns which jobs a greedy planner answers in time with the given number of slots.
+// GreedyPlan returns which jobs a greedy planner answers in time with the given number of slots.
 // It takes the best of three plans: by value per second, by arrival and by deadline.
-func Plan(jobs []Job, slots int) (inTime []bool, value float64) {
+func GreedyPlan(jobs []Job, slots int) (inTime []bool, value float64) {
 	for _, order := range []func(a, b *Job) int{byValuePerSecond, byArrival, byDeadline} {
 		taken, v := planInOrder(jobs, slots, sortedIndexes(jobs, order))
 		if v > value || inTime == nil {
@@ -108,9 +108,9 @@
 	return &schedule{make([]int, end/step+2), slots}
 }
 
-// Even returns the fraction of each kind's total value that a greedy planner earns. The
+// FairShares returns the fraction of each kind's total value that a greedy planner earns. The
 // planner always takes the next job of the kind with the lowest fraction so far.
-func Even(jobs []Job, slots int) map[string]float64 {
+func FairShares(jobs []Job, slots int) map[string]float64 {
 	total, earned, waiting := map[string]float64{}, map[string]float64{}, map[string][]int{}
 	for _, i := range sortedIndexes(jobs, byValuePerSecond) {
 		total[jobs[i].Kind] += jobs[i].Value
--- a/internal/bound/bound_test.go
+++ b/internal/bound/bound_test.go
@@ -14,10 +14,10 @@
 		{Arrived: 0, Within: 100 * ms, Runs: []time.Duration{60 * ms, 60 * ms}, Value: 1},
 		{Arrived: 50 * ms, Within: 100 * ms, Runs: []time.Duration{60 * ms}, Value: 1},
 	}
-	inTime, value := Plan(jobs, 3)
+	inTime, value := GreedyPlan(jobs, 3)
 	qt.Assert(t, inTime, qt.DeepEquals, []bool{true, true})
 	qt.Assert(t, value, qt.Equals, 2.0)
-	qt.Assert(t, Fluid(jobs, 3), qt.Equals, 2.0)
+	qt.Assert(t, FractionalBound(jobs, 3), qt.Equals, 2.0)
 }
 
 // Two jobs of equal length arrive at once for one slot: only one can be answered in time.
@@ -26,10 +26,10 @@
 		{Within: 100 * ms, Runs: []time.Duration{80 * ms}, Value: 1},
 		{Within: 100 * ms, Runs: []time.Duration{80 * ms}, Value: 3},
 	}
-	inTime, value := Plan(jobs, 1)
+	inTime, value := GreedyPlan(jobs, 1)
 	qt.Assert(t, inTime, qt.DeepEquals, []bool{false, true})
 	qt.Assert(t, value, qt.Equals, 3.0)
-	qt.Assert(t, Fluid(jobs, 1) >= value, qt.IsTrue)
+	qt.Assert(t, FractionalBound(jobs, 1) >= value, qt.IsTrue)
 }
 
 // Either all tasks of a job are planned or none: a partial job has no value and must not
@@ -39,6 +39,6 @@
 		{Within: 100 * ms, Runs: []time.Duration{90 * ms, 90 * ms, 90 * ms}, Value: 9},
 		{Within: 100 * ms, Runs: []time.Duration{90 * ms, 90 * ms}, Value: 1},
 	}
-	inTime, _ := Plan(jobs, 2)
+	inTime, _ := GreedyPlan(jobs, 2)
 	qt.Assert(t, inTime, qt.DeepEquals, []bool{false, true})
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -313,12 +313,12 @@
 	listen := e.opts.Listeners
 	if listen.Caller != nil {
 		e.addActor(&g, func(ctx context.Context) error {
-			return e.serve(ctx, api.Server(api.Closing(caller.Handler(), e.draining.Load), e.log), listen.Caller)
+			return e.serve(ctx, api.Server(api.CloseWhileDraining(caller.Handler(), e.draining.Load), e.log), listen.Caller)
 		})
 	}
 	if e.opts.Attach != nil {
 		for _, a := range e.opts.Attach(e) {
-			a.Server.Handler = api.Closing(a.Server.Handler, e.draining.Load)
+			a.Server.Handler = api.CloseWhileDraining(a.Server.Handler, e.draining.Load)
 			e.addActor(&g, func(ctx context.Context) error { return e.serveAttached(ctx, a) })
 		}
 	}
--- a/internal/entry/rights.go
+++ b/internal/entry/rights.go
@@ -23,8 +23,8 @@
 	self    job.Owner
 	clock   *awake.Clock
 	table   ownership.Table
-	proofOf func(life job.Incarnation, at awake.Reading) (time.Time, bool)
-	reading func() awake.Reading
+	proofOf func(life job.Incarnation, at awake.Timestamp) (time.Time, bool)
+	reading func() awake.Timestamp
 
 	mu     sync.Mutex
 	unread ownership.UnreadTracker
@@ -37,8 +37,8 @@
 func newRights(e *Entry) *rights {
 	return &rights{
 		self: e.self, clock: &e.awake,
-		proofOf: func(life job.Incarnation, at awake.Reading) (time.Time, bool) { return e.members.Proof(life, at) },
-		reading: func() awake.Reading { return e.members.Reading() },
+		proofOf: func(life job.Incarnation, at awake.Timestamp) (time.Time, bool) { return e.members.Proof(life, at) },
+		reading: func() awake.Timestamp { return e.members.Reading() },
 	}
 }
 
@@ -80,7 +80,7 @@
 func (r right) Lost() <-chan struct{} { return r.lease.Lost() }
 
 // Right implements handover.Rights.
-func (r *rights) Right(owner job.Owner, proof awake.Reading, remaining time.Duration) job.Right {
+func (r *rights) Right(owner job.Owner, proof awake.Timestamp, remaining time.Duration) job.Right {
 	at, ok := r.proofOf(r.self.Incarnation, proof)
 	if !ok {
 		return nil
@@ -93,7 +93,7 @@
 }
 
 // Reading implements handover.Rights.
-func (r *rights) Reading() awake.Reading { return r.reading() }
+func (r *rights) Reading() awake.Timestamp { return r.reading() }
 
 // recordProof records that an owner was alive at a time.
 func (r *rights) recordProof(owner job.Owner, at time.Time) { r.table.Renew(r.clock.Now(), owner, at) }
@@ -143,7 +143,7 @@
 
 // proofFor returns the reading of a holder's clock that proves to the holder that this entry
 // is alive; zero while this entry may not prove it.
-func (e *Entry) proofFor(to job.EntryID, incarnation job.Incarnation) awake.Reading {
+func (e *Entry) proofFor(to job.EntryID, incarnation job.Incarnation) awake.Timestamp {
 	if e.rights != nil && !e.mayProve(to) {
 		return 0
 	}
--- a/internal/entry/search.go
+++ b/internal/entry/search.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// Look implements api.Dispatcher.
-func (e *Entry) Look(ctx context.Context, id job.ID) (api.JobStatus, bool) {
+// Status implements api.Dispatcher.
+func (e *Entry) Status(ctx context.Context, id job.ID) (api.JobStatus, bool) {
 	if status, ok := e.localStatus(id); ok {
 		return status, true
 	}
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -71,7 +71,7 @@
 func (e *Entry) closeIntake() {
 	close(e.intakeClosed)
 	if e.opts.NoticePeriod > 0 {
-		time.Sleep(api.LastRequestTime + intakeMargin)
+		time.Sleep(api.LastRequestGrace + intakeMargin)
 	}
 }
 
--- a/internal/fleet/broken_target_test.go
+++ b/internal/fleet/broken_target_test.go
@@ -57,7 +57,7 @@
 	broken := &brokenListener{Listener: l}
 	f := startTest(t, Options{
 		Zones: []job.Zone{"a"}, EntriesPerZone: 2, TargetsPerZone: 3,
-		Change: func(i int, o *standin.Options) {
+		ModifyTarget: func(i int, o *standin.Options) {
 			if i == 0 {
 				o.Listener = broken
 			}
--- a/internal/fleet/chaos_test.go
+++ b/internal/fleet/chaos_test.go
@@ -56,7 +56,7 @@
 //
 //	go test -tags chaos -run Chaos -v ./internal/fleet -chaos.seed 7
 func TestChaos(t *testing.T) {
-	f := startTest(t, Options{Zones: []job.Zone{"a", "b", "c"}, EntriesPerZone: 2, TargetsPerZone: 2, Wires: true})
+	f := startTest(t, Options{Zones: []job.Zone{"a", "b", "c"}, EntriesPerZone: 2, TargetsPerZone: 2, Partitionable: true})
 	stop := make(chan struct{})
 	b := f.balancer(stop)
 	sums := &tally{counts: map[string]int{}}
@@ -140,9 +140,9 @@
 			qt.Assert(t, f.Restart(name), qt.IsNil)
 		case 2:
 			zone := f.member(name).zone
-			f.CutZone(zone, true)
+			f.SetZonePartitioned(zone, true)
 			sleepUpTo(4 * time.Second)
-			f.CutZone(zone, false)
+			f.SetZonePartitioned(zone, false)
 		case 3:
 			qt.Check(t, f.StopEntry(name), qt.IsNil)
 			qt.Assert(t, f.Restart(name), qt.IsNil)
--- a/internal/fleet/config_test.go
+++ b/internal/fleet/config_test.go
@@ -49,8 +49,8 @@
 // The other zones accept a new file, which must take effect in the zone soon after
 // the partition ends.
 func TestPartitionedZoneKeepsItsConfigurationAndCatchesUp(t *testing.T) {
-	f := startTest(t, Options{Zones: []job.Zone{"a", "b", "c"}, EntriesPerZone: 1, TargetsPerZone: 1, Wires: true})
-	f.CutZone("a", true)
+	f := startTest(t, Options{Zones: []job.Zone{"a", "b", "c"}, EntriesPerZone: 1, TargetsPerZone: 1, Partitionable: true})
+	f.SetZonePartitioned("a", true)
 	second := strings.Replace(testFile, "number: 1", "number: 2", 1)
 	_, err := f.entries[1].entry.Apply(t.Context(), "second", []byte(second))
 	qt.Assert(t, err, qt.IsNil)
@@ -60,7 +60,7 @@
 	qt.Assert(t, f.entries[0].entry.Configuration(), qt.Equals, uint64(1))
 	_, err = f.entries[0].entry.Apply(t.Context(), "minority", []byte(strings.Replace(testFile, "number: 1", "number: 3", 1)))
 	qt.Assert(t, err, qt.IsNotNil)
-	f.CutZone("a", false)
+	f.SetZonePartitioned("a", false)
 	began := time.Now()
 	qt.Assert(t, wait(t.Context(), func() bool { return f.entries[0].entry.Configuration() >= 2 }), qt.IsNil)
 	t.Logf("in effect %v after the partition", time.Since(began))
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -50,9 +50,9 @@
 	return m.err
 }
 
-// CutZone partitions an availability zone from all others, or restores its
-// links. It requires Options.Wires.
-func (f *Fleet) CutZone(zone job.Zone, cut bool) {
+// SetZonePartitioned partitions an availability zone from all others, or restores its
+// links. It requires Options.Partitionable.
+func (f *Fleet) SetZonePartitioned(zone job.Zone, cut bool) {
 	for p, l := range f.links {
 		if (f.member(p.from).zone == zone) != (f.member(p.to).zone == zone) {
 			l.setCut(cut)
--- a/internal/fleet/fault_test.go
+++ b/internal/fleet/fault_test.go
@@ -178,8 +178,8 @@
 // must keep serving with their own targets, and use each other's targets again
 // after the partition.
 func TestPartitionedZoneKeepsServing(t *testing.T) {
-	f := startTest(t, Options{Zones: []job.Zone{"a", "b", "c"}, EntriesPerZone: 1, TargetsPerZone: 2, Wires: true})
-	f.CutZone("a", true)
+	f := startTest(t, Options{Zones: []job.Zone{"a", "b", "c"}, EntriesPerZone: 1, TargetsPerZone: 2, Partitionable: true})
+	f.SetZonePartitioned("a", true)
 	for i, address := range f.CallerAddresses("") {
 		id := fmt.Sprintf("cut-%d", i)
 		r, err := send(http.DefaultClient, address, jobBody(id, "thumbs", 4, 10))
@@ -187,7 +187,7 @@
 		qt.Assert(t, r.status, qt.Equals, http.StatusOK, qt.Commentf("%+v", r.other))
 		qt.Assert(t, whole(r, id, 4), qt.IsTrue)
 	}
-	f.CutZone("a", false)
+	f.SetZonePartitioned("a", false)
 	ctx := t.Context()
 	qt.Assert(t, f.WaitReady(ctx, 6*8), qt.IsNil)
 	qt.Assert(t, f.Ledger.DoubledStarts(), qt.Equals, uint64(0))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -38,8 +38,8 @@
 	TargetsPerRack int
 	// Target is the template for every stand-in target: slots, sizes, speed.
 	Target standin.Options
-	// Change, if set, may modify the options of each stand-in target.
-	Change func(index int, o *standin.Options)
+	// ModifyTarget, if set, may modify the options of each stand-in target.
+	ModifyTarget func(index int, o *standin.Options)
 	// Scheduler can switch off single scheduling decisions, for measurements.
 	Scheduler scheduler.Options
 	// Events bounds each entry's timeline; see entry.Options.
@@ -49,8 +49,8 @@
 	File []byte
 	// Config, if set, is used instead of File, without a vote.
 	Config config.View
-	// Wires connects every two entries through links that can be partitioned.
-	Wires bool
+	// Partitionable connects every two entries through links that can be partitioned.
+	Partitionable bool
 	// Discover makes the entries discover each other through seeds, as on a
 	// platform that provides only some addresses.
 	Discover bool
@@ -200,7 +200,7 @@
 			f.entries = append(f.entries, m)
 		}
 	}
-	if f.opts.Wires {
+	if f.opts.Partitionable {
 		if err := f.openLinks(); err != nil {
 			return errors.Trace(err)
 		}
@@ -343,8 +343,8 @@
 	o.Entries = f.CallerAddresses(zone)
 	o.Starts = f.Ledger
 	o.Log = f.opts.Log
-	if f.opts.Change != nil {
-		f.opts.Change(index, &o)
+	if f.opts.ModifyTarget != nil {
+		f.opts.ModifyTarget(index, &o)
 	}
 	t, err := standin.New(o)
 	if err != nil {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -53,7 +53,7 @@
 type reply struct {
 	status   int
 	complete api.CompleteAnswer
-	other    api.OtherAnswer
+	other    api.IncompleteAnswer
 }
 
 // send posts a job. If the error is a failed dial, nothing was sent.
@@ -191,7 +191,7 @@
 // their results, and no task may be started on the target after its withdrawal.
 func TestDrainingTargetFinishesAndStartsNothing(t *testing.T) {
 	ledgers := map[int]*standin.StartTracker{}
-	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 1, TargetsPerZone: 2, Change: func(i int, o *standin.Options) {
+	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 1, TargetsPerZone: 2, ModifyTarget: func(i int, o *standin.Options) {
 		ledgers[i] = standin.NewStartTracker()
 		o.Starts = ledgers[i]
 	}})
@@ -236,7 +236,7 @@
 // on, even after the pool's holder stops and another entry takes over the pool
 // from the announcements that it has stored.
 func TestWithdrawalAtAnyEntry(t *testing.T) {
-	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 3, TargetsPerZone: 2, Change: func(_ int, o *standin.Options) {
+	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 3, TargetsPerZone: 2, ModifyTarget: func(_ int, o *standin.Options) {
 		o.Entries = o.Entries[:1]
 	}})
 	tracker := standin.NewStartTracker()
--- a/internal/fleet/resubmit_test.go
+++ b/internal/fleet/resubmit_test.go
@@ -136,13 +136,13 @@
 // other side, so it must be neither started nor reported as "not run". A first
 // attempt must be served.
 func TestResubmissionInPartitionedZone(t *testing.T) {
-	f := startTest(t, Options{Zones: []job.Zone{"a", "b"}, EntriesPerZone: 1, TargetsPerZone: 2, Wires: true})
+	f := startTest(t, Options{Zones: []job.Zone{"a", "b"}, EntriesPerZone: 1, TargetsPerZone: 2, Partitionable: true})
 	addresses := f.CallerAddresses("")
 	body := jobBody("crossing", "alerts", 1, 5)
 	r, err := send(http.DefaultClient, addresses[1], body)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, r.status, qt.Equals, http.StatusOK)
-	f.CutZone("a", true)
+	f.SetZonePartitioned("a", true)
 	r, err = send(http.DefaultClient, addresses[0], attempt(body, 2))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, r.status, qt.Equals, http.StatusServiceUnavailable)
--- a/internal/handover/remote.go
+++ b/internal/handover/remote.go
@@ -59,8 +59,8 @@
 	SinceLastMessage func(entry job.EntryID, incarnation job.Incarnation) time.Duration
 	// Proof returns the last timestamp received of a holder's clock, and Learn stores one;
 	// nil if holders require no proof.
-	Proof func(entry job.EntryID, incarnation job.Incarnation) awake.Reading
-	Learn func(entry job.EntryID, incarnation job.Incarnation, at awake.Reading)
+	Proof func(entry job.EntryID, incarnation job.Incarnation) awake.Timestamp
+	Learn func(entry job.EntryID, incarnation job.Incarnation, at awake.Timestamp)
 	// OnLoad receives the load that a holder sends with its answer, before the outcomes are
 	// reported; may be nil.
 	OnLoad func(from job.EntryID, l job.HolderLoad)
@@ -72,8 +72,8 @@
 	mesh             peer.Mesh
 	isGone           Gone
 	sinceLastMessage func(entry job.EntryID, incarnation job.Incarnation) time.Duration
-	proof            func(entry job.EntryID, incarnation job.Incarnation) awake.Reading
-	learnReading     func(entry job.EntryID, incarnation job.Incarnation, at awake.Reading)
+	proof            func(entry job.EntryID, incarnation job.Incarnation) awake.Timestamp
+	learnReading     func(entry job.EntryID, incarnation job.Incarnation, at awake.Timestamp)
 	onLoad           func(from job.EntryID, l job.HolderLoad)
 	events           timeline.Sink
 
@@ -104,10 +104,10 @@
 		o.SinceLastMessage = func(job.EntryID, job.Incarnation) time.Duration { return 2 * holderLostAfter }
 	}
 	if o.Proof == nil {
-		o.Proof = func(job.EntryID, job.Incarnation) awake.Reading { return 0 }
+		o.Proof = func(job.EntryID, job.Incarnation) awake.Timestamp { return 0 }
 	}
 	if o.Learn == nil {
-		o.Learn = func(job.EntryID, job.Incarnation, awake.Reading) {}
+		o.Learn = func(job.EntryID, job.Incarnation, awake.Timestamp) {}
 	}
 	if o.OnLoad == nil {
 		o.OnLoad = func(job.EntryID, job.HolderLoad) {}
--- a/internal/load/exchange.go
+++ b/internal/load/exchange.go
@@ -187,7 +187,7 @@
 
 // checkOtherAnswer checks an answer other than a complete one.
 func (r *runner) checkOtherAnswer(a *Arrival, status int, body []byte) jobResult {
-	var answer api.OtherAnswer
+	var answer api.IncompleteAnswer
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return r.unreadable(a, errors.Annotatef(err, "status %d", status))
 	}
--- a/internal/load/hindsight.go
+++ b/internal/load/hindsight.go
@@ -37,9 +37,9 @@
 	if slots == 0 || len(jobs) == 0 {
 		return Hindsight{}
 	}
-	_, served := bound.Plan(jobs, slots)
+	_, served := bound.GreedyPlan(jobs, slots)
 	seconds := spec.Duration.Seconds()
-	return Hindsight{Plan: served / seconds, UpperBound: bound.Fluid(jobs, float64(slots)) / seconds, Known: true}
+	return Hindsight{Plan: served / seconds, UpperBound: bound.FractionalBound(jobs, float64(slots)) / seconds, Known: true}
 }
 
 // plannerJob converts an arrival into a job for the planner. Its value is its work, up
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -110,7 +110,7 @@
 // corrupt each complete answer before it is sent.
 type fakeEntry struct {
 	alter func(a *api.CompleteAnswer)
-	other *api.OtherAnswer
+	other *api.IncompleteAnswer
 	// hold, if set, delays all answers until this many jobs have arrived.
 	hold int
 
@@ -248,7 +248,7 @@
 func TestRunDetectsFalseNotRun(t *testing.T) {
 	spec := smallSpec(t)
 	spec.Streams = spec.Streams[:1]
-	entry := &fakeEntry{other: &api.OtherAnswer{Outcome: job.Refused, Run: job.NotRun().String(), Reason: job.Overloaded}}
+	entry := &fakeEntry{other: &api.IncompleteAnswer{Outcome: job.Refused, Run: job.NotRun().String(), Reason: job.Overloaded}}
 	address := entry.serve(t)
 	report, err := Run(t.Context(), spec, Options{Entries: []string{address}, Targets: []string{address}})
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -130,10 +130,10 @@
 	cachedDigest, digestVersion uint64
 	differsSince                map[job.EntryID]time.Time
 	lastCompared                time.Time
-	// ruler makes this entry's clock readings; readings holds the last reading of each other
+	// timestamps makes this entry's clock readings; readings holds the last reading of each other
 	// entry.
-	ruler    awake.Ruler
-	readings map[job.EntryID]clockReading
+	timestamps awake.TimestampCodec
+	readings   map[job.EntryID]clockReading
 }
 
 // loadReport is the last report of an entry's loads.
@@ -163,7 +163,7 @@
 		o.Proved = func(job.Owner, time.Time) {}
 	}
 	m := &Membership{
-		ruler: awake.NewRuler(o.Now()), readings: map[job.EntryID]clockReading{},
+		timestamps: awake.NewTimestampCodec(o.Now()), readings: map[job.EntryID]clockReading{},
 		opts: o, changed: make(chan struct{}, 1), loads: map[job.EntryID]loadReport{},
 		sent: map[job.EntryID]time.Time{}, sentLoadsVersion: map[job.EntryID]uint64{},
 		requests: map[job.EntryID]heartbeatRequest{}, configNumbers: map[job.EntryID]uint64{}, pendingUpdates: map[job.EntryID]bool{}, differsSince: map[job.EntryID]time.Time{},
--- a/internal/membership/proof.go
+++ b/internal/membership/proof.go
@@ -23,15 +23,15 @@
 	Beat cbor.RawMessage
 	// Reading is of the sender's clock. Echo is the last reading of the receiver's clock that
 	// the sender has; it was made by the receiver's incarnation Life.
-	Reading awake.Reading
+	Reading awake.Timestamp
 	Life    job.Incarnation
-	Echo    awake.Reading
+	Echo    awake.Timestamp
 }
 
 // clockReading is the last reading received of an entry's clock.
 type clockReading struct {
 	incarnation job.Incarnation
-	at          awake.Reading
+	at          awake.Timestamp
 }
 
 // stamp adds the clock readings for one receiver to a heartbeat.
@@ -44,12 +44,12 @@
 	if !mayProve {
 		last = clockReading{}
 	}
-	return stampedHeartbeat{Beat: body, Reading: m.ruler.Reading(now), Life: last.incarnation, Echo: last.at}
+	return stampedHeartbeat{Beat: body, Reading: m.timestamps.Encode(now), Life: last.incarnation, Echo: last.at}
 }
 
 // recordReading records another entry's clock reading if it is the latest. The caller holds
 // the lock.
-func (m *Membership) recordReading(from job.EntryID, incarnation job.Incarnation, at awake.Reading) {
+func (m *Membership) recordReading(from job.EntryID, incarnation job.Incarnation, at awake.Timestamp) {
 	last := m.readings[from]
 	if incarnation > last.incarnation || incarnation == last.incarnation && at > last.at {
 		m.readings[from] = clockReading{incarnation, at}
@@ -57,17 +57,17 @@
 }
 
 // RecordReading records a clock reading that arrived in a message other than a heartbeat.
-func (m *Membership) RecordReading(from job.EntryID, incarnation job.Incarnation, at awake.Reading) {
+func (m *Membership) RecordReading(from job.EntryID, incarnation job.Incarnation, at awake.Timestamp) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.recordReading(from, incarnation, at)
 }
 
 // Reading returns a reading of this entry's clock, which other entries echo.
-func (m *Membership) Reading() awake.Reading { return m.ruler.Reading(m.opts.Now()) }
+func (m *Membership) Reading() awake.Timestamp { return m.timestamps.Encode(m.opts.Now()) }
 
 // LastReading returns the last clock reading received from an incarnation, or zero if there is none.
-func (m *Membership) LastReading(of job.EntryID, incarnation job.Incarnation) awake.Reading {
+func (m *Membership) LastReading(of job.EntryID, incarnation job.Incarnation) awake.Timestamp {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if last := m.readings[of]; last.incarnation == incarnation {
@@ -78,11 +78,11 @@
 
 // Proof returns the time of an echoed reading by the clock of Options.Now. It reports false
 // for a reading that this incarnation didn't make.
-func (m *Membership) Proof(incarnation job.Incarnation, at awake.Reading) (time.Time, bool) {
+func (m *Membership) Proof(incarnation job.Incarnation, at awake.Timestamp) (time.Time, bool) {
 	if at == 0 || incarnation != m.opts.Mesh.Self().Incarnation {
 		return time.Time{}, false
 	}
-	return m.ruler.Time(at), true
+	return m.timestamps.Decode(at), true
 }
 
 // SendHeartbeat sends a heartbeat to an entry whose link has just come up. The right of either entry
--- a/internal/replay/load_test.go
+++ b/internal/replay/load_test.go
@@ -224,9 +224,9 @@
 	out.large = f.large()
 	out.utilisation = f.utilisation()
 	capacity := f.capacity(usualMillis)
-	out.fluid = bound.Fluid(jobs, capacity)
-	_, out.plan = bound.Plan(jobs, int(capacity))
-	out.even = bound.Even(jobs, int(capacity))
+	out.fluid = bound.FractionalBound(jobs, capacity)
+	_, out.plan = bound.GreedyPlan(jobs, int(capacity))
+	out.even = bound.FairShares(jobs, int(capacity))
 	return out
 }
 
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -112,7 +112,7 @@
 		TargetsPerRack: f.PerRack,
 		Pool:           f.Pool,
 		Target:         standin.Options{Slots: f.Slots, Processors: f.Processors, MemoryMB: f.MemoryMB, Accelerators: f.Accelerators},
-		Change:         makeUnhealthy(f),
+		ModifyTarget:   makeUnhealthy(f),
 		Scheduler:      policy.Scheduler,
 		File:           file,
 	}
