--- a/internal/policy/patience/patience.go
+++ b/internal/policy/waitlimit/waitlimit.go
@@ -1,4 +1,4 @@
-// Package patience decides what part of a job's slack, the time that its latency
+// Package waitlimit decides what part of a job's slack, the time that its latency
 // objective leaves, the job may be expected to wait for its start.
 //
 // Load pattern: more jobs with an objective arrive than the targets can run, of kinds
@@ -13,7 +13,7 @@
 // Both are corrected by feedback. The part shrinks as admitted jobs start too late to
 // meet their objective, and a kind gets a larger part the smaller its share of admitted
 // jobs is compared to the other kinds.
-package patience
+package waitlimit
 
 const (
 	// lateWeight and admittedWeight are the weights of one job in the moving averages:
--- a/internal/policy/patience/patience_test.go
+++ b/internal/policy/waitlimit/waitlimit_test.go
@@ -1,4 +1,4 @@
-package patience
+package waitlimit
 
 import (
 	"testing"
--- a/internal/scheduler/objective.go
+++ b/internal/scheduler/objective.go
@@ -114,14 +114,14 @@
 	slack := b.objective.latestStart.Sub(b.arrived)
 	p.meanSlack += slackWeight * (slack.Seconds() - p.meanSlack)
 	wait := p.expectedWait(b, slack)
-	fraction := p.patience.Part(b.meta.Service)
+	fraction := p.waitLimit.Part(b.meta.Service)
 	if p.opts.NoWaitLimit {
 		fraction = 1
 	}
 	maxWait := time.Duration(fraction * float64(slack))
 	// A batch that can start now could not finish earlier elsewhere.
 	admitted := wait == 0 || wait <= maxWait
-	p.patience.Decided(b.meta.Service, admitted)
+	p.waitLimit.Decided(b.meta.Service, admitted)
 	if admitted {
 		return p.admitIfUseful(now, b, wait)
 	}
@@ -174,6 +174,6 @@
 // it started or expired.
 func (p *Pool) recordStartLateness(now time.Time, b *batch) {
 	if b.objective.set() {
-		p.patience.Started(now.After(b.objective.latestStart))
+		p.waitLimit.Started(now.After(b.objective.latestStart))
 	}
 }
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -11,9 +11,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/policy/estimate"
 	"github.com/vanillagrade/vanillagrade/internal/policy/fairqueue"
 	"github.com/vanillagrade/vanillagrade/internal/policy/health"
-	"github.com/vanillagrade/vanillagrade/internal/policy/patience"
 	"github.com/vanillagrade/vanillagrade/internal/policy/pq"
 	"github.com/vanillagrade/vanillagrade/internal/policy/reserve"
+	"github.com/vanillagrade/vanillagrade/internal/policy/waitlimit"
 )
 
 const classes = int(job.UrgencyUrgent) + 1
@@ -114,7 +114,7 @@
 	freeCapacity int
 	freeSlots    int
 	meanSize     sizeMean
-	patience     patience.Tracker
+	waitLimit    waitlimit.Tracker
 	freeTimes    slotHeap
 	meanSlack    float64 // of jobs with an objective, in seconds
 	running      int
@@ -170,7 +170,7 @@
 func (p *Pool) Configure(now time.Time, f *config.File) {
 	p.file = f
 	p.setWeights(f)
-	p.patience.Forget(func(service string) bool { _, known := f.Service(service); return !known })
+	p.waitLimit.Forget(func(service string) bool { _, known := f.Service(service); return !known })
 	clear(p.unplaceable)
 	for _, id := range slices.Sorted(maps.Keys(p.targets)) {
 		t := p.targets[id]
