--- a/cmd/vanillagrade/platform.go
+++ b/cmd/vanillagrade/platform.go
@@ -12,10 +12,10 @@
 	"syscall"
 	"time"
 
-	"github.com/vanillagrade/vanillagrade/internal/awake"
 	"github.com/vanillagrade/vanillagrade/internal/discovery"
 	"github.com/vanillagrade/vanillagrade/internal/entry"
 	"github.com/vanillagrade/vanillagrade/internal/job"
+	"github.com/vanillagrade/vanillagrade/internal/vmclock"
 	"github.com/vanillagrade/vanillagrade/platform"
 )
 
@@ -46,7 +46,7 @@
 	}
 	runtime.GOMAXPROCS(options.Settings.Threads(runtime.GOMAXPROCS(0)))
 	lastIncarnation := discovery.LastIncarnation(ctx, seeds.list(), nil, options.Settings.Name)
-	options.Suspended = awake.Suspended()
+	options.Suspended = vmclock.Suspended()
 	options.Incarnation = max(job.Incarnation(time.Now().UnixNano()), lastIncarnation+1)
 	e, err := entry.New(options)
 	if err != nil {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -16,7 +16,6 @@
 	"github.com/oklog/run"
 
 	"github.com/vanillagrade/vanillagrade/internal/api"
-	"github.com/vanillagrade/vanillagrade/internal/awake"
 	"github.com/vanillagrade/vanillagrade/internal/config"
 	"github.com/vanillagrade/vanillagrade/internal/discovery"
 	"github.com/vanillagrade/vanillagrade/internal/eventlog"
@@ -37,6 +36,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/storage"
 	"github.com/vanillagrade/vanillagrade/internal/target"
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
+	"github.com/vanillagrade/vanillagrade/internal/vmclock"
 )
 
 // Options describes one entry.
@@ -102,8 +102,8 @@
 	self  job.Owner
 	log   *slog.Logger
 	clock *timeline.Clock
-	// awake is the clock by which this entry detects that it was paused.
-	awake awake.Clock
+	// vmClock is the clock by which this entry detects that it was paused.
+	vmClock vmclock.Clock
 	// rights holds the rights to act for owners of transient work; nil where heartbeats
 	// are too sparse for it and no work is transient.
 	rights *rights
@@ -194,12 +194,12 @@
 	}
 	self := job.Owner{Entry: o.Settings.Name, Incarnation: o.Incarnation, Zone: o.Settings.Zone}
 	e := &Entry{
-		opts:   o,
-		self:   self,
-		log:    o.Log.With("entry", self.Entry, "availability_zone", self.Zone),
-		clock:  timeline.NewClock(time.Now),
-		awake:  awake.Clock{Suspended: o.Suspended},
-		memory: api.NewByteBudget(maxBodyBytes),
+		opts:    o,
+		self:    self,
+		log:     o.Log.With("entry", self.Entry, "availability_zone", self.Zone),
+		clock:   timeline.NewClock(time.Now),
+		vmClock: vmclock.Clock{Suspended: o.Suspended},
+		memory:  api.NewByteBudget(maxBodyBytes),
 
 		stopping:     make(chan struct{}),
 		started:      time.Now(),
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -38,7 +38,7 @@
 		exchange = e.exchangeRecords
 	}
 	e.members = membership.New(membership.Options{
-		Now:       e.awake.Now,
+		Now:       e.vmClock.Now,
 		Proved:    recordProof,
 		MayProve:  mayProve,
 		Mesh:      e.links,
--- a/internal/entry/rights.go
+++ b/internal/entry/rights.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"github.com/vanillagrade/vanillagrade/internal/awake"
 	"github.com/vanillagrade/vanillagrade/internal/job"
 	"github.com/vanillagrade/vanillagrade/internal/policy/ownership"
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
+	"github.com/vanillagrade/vanillagrade/internal/vmclock"
 )
 
 const (
@@ -21,10 +21,10 @@
 // rights are this entry's rights to act for the owners of transient work, itself included.
 type rights struct {
 	self    job.Owner
-	clock   *awake.Clock
+	clock   *vmclock.Clock
 	table   ownership.Table
-	proofOf func(life job.Incarnation, at awake.Timestamp) (time.Time, bool)
-	reading func() awake.Timestamp
+	proofOf func(life job.Incarnation, at vmclock.Timestamp) (time.Time, bool)
+	reading func() vmclock.Timestamp
 
 	mu     sync.Mutex
 	unread ownership.UnreadTracker
@@ -36,9 +36,9 @@
 
 func newRights(e *Entry) *rights {
 	return &rights{
-		self: e.self, clock: &e.awake,
-		proofOf: func(life job.Incarnation, at awake.Timestamp) (time.Time, bool) { return e.members.Proof(life, at) },
-		reading: func() awake.Timestamp { return e.members.Reading() },
+		self: e.self, clock: &e.vmClock,
+		proofOf: func(life job.Incarnation, at vmclock.Timestamp) (time.Time, bool) { return e.members.Proof(life, at) },
+		reading: func() vmclock.Timestamp { return e.members.Reading() },
 	}
 }
 
@@ -47,7 +47,7 @@
 // suspended, but the caller does.
 type right struct {
 	lease *ownership.Lease
-	clock *awake.Clock
+	clock *vmclock.Clock
 	// deadline is zero for a job without one.
 	deadline time.Time
 }
@@ -80,7 +80,7 @@
 func (r right) Lost() <-chan struct{} { return r.lease.Lost() }
 
 // Right implements handover.Rights.
-func (r *rights) Right(owner job.Owner, proof awake.Timestamp, remaining time.Duration) job.Right {
+func (r *rights) Right(owner job.Owner, proof vmclock.Timestamp, remaining time.Duration) job.Right {
 	at, ok := r.proofOf(r.self.Incarnation, proof)
 	if !ok {
 		return nil
@@ -93,7 +93,7 @@
 }
 
 // Reading implements handover.Rights.
-func (r *rights) Reading() awake.Timestamp { return r.reading() }
+func (r *rights) Reading() vmclock.Timestamp { return r.reading() }
 
 // recordProof records that an owner was alive at a time.
 func (r *rights) recordProof(owner job.Owner, at time.Time) { r.table.Renew(r.clock.Now(), owner, at) }
@@ -143,7 +143,7 @@
 
 // proofFor returns the reading of a holder's clock that proves to the holder that this entry
 // is alive; zero while this entry may not prove it.
-func (e *Entry) proofFor(to job.EntryID, incarnation job.Incarnation) awake.Timestamp {
+func (e *Entry) proofFor(to job.EntryID, incarnation job.Incarnation) vmclock.Timestamp {
 	if e.rights != nil && !e.mayProve(to) {
 		return 0
 	}
@@ -154,10 +154,10 @@
 // the work of owners whose last proof of life has expired, until ctx ends. Each start
 // checks the owner's right too; this loop ends tasks that are queued or running.
 func (e *Entry) watchOwners(ctx context.Context) error {
-	last := e.awake.Now()
+	last := e.vmClock.Now()
 	e.rights.recordRun(last, 0)
 	return every(ctx, ownerCheckInterval, func(time.Time) {
-		now := e.awake.Now()
+		now := e.vmClock.Now()
 		gap := now.Sub(last)
 		last = now
 		e.recordPause(gap)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -15,8 +15,8 @@
 package handover
 
 import (
-	"github.com/vanillagrade/vanillagrade/internal/awake"
 	"github.com/vanillagrade/vanillagrade/internal/job"
+	"github.com/vanillagrade/vanillagrade/internal/vmclock"
 )
 
 // Holder runs batches on the targets that it holds.
@@ -42,7 +42,7 @@
 	Acked []uint64 `cbor:"4,keyasint,omitempty"`
 	// Proof is the last timestamp of the holder's clock that the owner received. It proves
 	// that the owner was alive at that time and had not abandoned the batch.
-	Proof awake.Timestamp `cbor:"5,keyasint,omitempty"`
+	Proof vmclock.Timestamp `cbor:"5,keyasint,omitempty"`
 	// Shared is the common specification of all tasks of the batch if these are equal; the
 	// tasks' own specifications are then empty.
 	Shared *job.TaskSpec `cbor:"6,keyasint,omitempty"`
@@ -104,7 +104,7 @@
 	Verdict  offerResult       `cbor:"1,keyasint"`
 	Outcomes []job.TaskOutcome `cbor:"2,keyasint,omitempty"`
 	// Reading is a timestamp of the holder's clock, which the owner sends back as proof.
-	Reading awake.Timestamp `cbor:"3,keyasint,omitempty"`
+	Reading vmclock.Timestamp `cbor:"3,keyasint,omitempty"`
 	// Load is the current load of the holder's targets in the pool.
 	Load *job.HolderLoad `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/handover/remote.go
+++ b/internal/handover/remote.go
@@ -10,11 +10,11 @@
 
 	"github.com/juju/errors"
 
-	"github.com/vanillagrade/vanillagrade/internal/awake"
 	"github.com/vanillagrade/vanillagrade/internal/job"
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 	"github.com/vanillagrade/vanillagrade/internal/policy/ownership"
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
+	"github.com/vanillagrade/vanillagrade/internal/vmclock"
 )
 
 const (
@@ -59,8 +59,8 @@
 	SinceLastMessage func(entry job.EntryID, incarnation job.Incarnation) time.Duration
 	// Proof returns the last timestamp received of a holder's clock, and Learn stores one;
 	// nil if holders require no proof.
-	Proof func(entry job.EntryID, incarnation job.Incarnation) awake.Timestamp
-	Learn func(entry job.EntryID, incarnation job.Incarnation, at awake.Timestamp)
+	Proof func(entry job.EntryID, incarnation job.Incarnation) vmclock.Timestamp
+	Learn func(entry job.EntryID, incarnation job.Incarnation, at vmclock.Timestamp)
 	// OnLoad receives the load that a holder sends with its answer, before the outcomes are
 	// reported; may be nil.
 	OnLoad func(from job.EntryID, l job.HolderLoad)
@@ -72,8 +72,8 @@
 	mesh             peer.Mesh
 	isGone           Gone
 	sinceLastMessage func(entry job.EntryID, incarnation job.Incarnation) time.Duration
-	proof            func(entry job.EntryID, incarnation job.Incarnation) awake.Timestamp
-	learnReading     func(entry job.EntryID, incarnation job.Incarnation, at awake.Timestamp)
+	proof            func(entry job.EntryID, incarnation job.Incarnation) vmclock.Timestamp
+	learnReading     func(entry job.EntryID, incarnation job.Incarnation, at vmclock.Timestamp)
 	onLoad           func(from job.EntryID, l job.HolderLoad)
 	events           timeline.Sink
 
@@ -104,10 +104,10 @@
 		o.SinceLastMessage = func(job.EntryID, job.Incarnation) time.Duration { return 2 * holderLostAfter }
 	}
 	if o.Proof == nil {
-		o.Proof = func(job.EntryID, job.Incarnation) awake.Timestamp { return 0 }
+		o.Proof = func(job.EntryID, job.Incarnation) vmclock.Timestamp { return 0 }
 	}
 	if o.Learn == nil {
-		o.Learn = func(job.EntryID, job.Incarnation, awake.Timestamp) {}
+		o.Learn = func(job.EntryID, job.Incarnation, vmclock.Timestamp) {}
 	}
 	if o.OnLoad == nil {
 		o.OnLoad = func(job.EntryID, job.HolderLoad) {}
--- a/internal/handover/serve.go
+++ b/internal/handover/serve.go
@@ -10,10 +10,10 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/juju/errors"
 
-	"github.com/vanillagrade/vanillagrade/internal/awake"
 	"github.com/vanillagrade/vanillagrade/internal/job"
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
+	"github.com/vanillagrade/vanillagrade/internal/vmclock"
 )
 
 const (
@@ -110,9 +110,9 @@
 	// Right returns the right to act for an owner, based on the proof in its offer; nil if
 	// the proof is too old. remaining is the time left until the deadline of the work; zero
 	// for none.
-	Right(owner job.Owner, proof awake.Timestamp, remaining time.Duration) job.Right
+	Right(owner job.Owner, proof vmclock.Timestamp, remaining time.Duration) job.Right
 	// Reading returns a timestamp of this entry's clock, which owners send back as proof.
-	Reading() awake.Timestamp
+	Reading() vmclock.Timestamp
 }
 
 // RequireRights makes the holder require a right to act for owners of transient work. It must
@@ -198,7 +198,7 @@
 // reading returns a timestamp of this entry's clock, which the owner sends back with its
 // next offer. Under load, frequent reports thus keep the proofs recent, and a short link
 // outage does not end a right.
-func (s *Server) reading() awake.Timestamp {
+func (s *Server) reading() vmclock.Timestamp {
 	if s.rights == nil {
 		return 0
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -23,11 +23,11 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/juju/errors"
 
-	"github.com/vanillagrade/vanillagrade/internal/awake"
 	"github.com/vanillagrade/vanillagrade/internal/job"
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 	"github.com/vanillagrade/vanillagrade/internal/policy/watch"
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
+	"github.com/vanillagrade/vanillagrade/internal/vmclock"
 )
 
 // Peer is a known entry.
@@ -132,7 +132,7 @@
 	lastCompared                time.Time
 	// timestamps makes this entry's clock readings; readings holds the last reading of each other
 	// entry.
-	timestamps awake.TimestampCodec
+	timestamps vmclock.TimestampCodec
 	readings   map[job.EntryID]clockReading
 }
 
@@ -163,7 +163,7 @@
 		o.Proved = func(job.Owner, time.Time) {}
 	}
 	m := &Membership{
-		timestamps: awake.NewTimestampCodec(o.Now()), readings: map[job.EntryID]clockReading{},
+		timestamps: vmclock.NewTimestampCodec(o.Now()), readings: map[job.EntryID]clockReading{},
 		opts: o, changed: make(chan struct{}, 1), loads: map[job.EntryID]loadReport{},
 		sent: map[job.EntryID]time.Time{}, sentLoadsVersion: map[job.EntryID]uint64{},
 		requests: map[job.EntryID]heartbeatRequest{}, configNumbers: map[job.EntryID]uint64{}, pendingUpdates: map[job.EntryID]bool{}, differsSince: map[job.EntryID]time.Time{},
--- a/internal/membership/proof.go
+++ b/internal/membership/proof.go
@@ -5,9 +5,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/vanillagrade/vanillagrade/internal/awake"
 	"github.com/vanillagrade/vanillagrade/internal/job"
 	"github.com/vanillagrade/vanillagrade/internal/peer"
+	"github.com/vanillagrade/vanillagrade/internal/vmclock"
 )
 
 // A heartbeat proves that its sender was alive when it was sent, not when it is read: it may
@@ -23,15 +23,15 @@
 	Beat cbor.RawMessage
 	// Reading is of the sender's clock. Echo is the last reading of the receiver's clock that
 	// the sender has; it was made by the receiver's incarnation Life.
-	Reading awake.Timestamp
+	Reading vmclock.Timestamp
 	Life    job.Incarnation
-	Echo    awake.Timestamp
+	Echo    vmclock.Timestamp
 }
 
 // clockReading is the last reading received of an entry's clock.
 type clockReading struct {
 	incarnation job.Incarnation
-	at          awake.Timestamp
+	at          vmclock.Timestamp
 }
 
 // stamp adds the clock readings for one receiver to a heartbeat.
@@ -49,7 +49,7 @@
 
 // recordReading records another entry's clock reading if it is the latest. The caller holds
 // the lock.
-func (m *Membership) recordReading(from job.EntryID, incarnation job.Incarnation, at awake.Timestamp) {
+func (m *Membership) recordReading(from job.EntryID, incarnation job.Incarnation, at vmclock.Timestamp) {
 	last := m.readings[from]
 	if incarnation > last.incarnation || incarnation == last.incarnation && at > last.at {
 		m.readings[from] = clockReading{incarnation, at}
@@ -57,17 +57,17 @@
 }
 
 // RecordReading records a clock reading that arrived in a message other than a heartbeat.
-func (m *Membership) RecordReading(from job.EntryID, incarnation job.Incarnation, at awake.Timestamp) {
+func (m *Membership) RecordReading(from job.EntryID, incarnation job.Incarnation, at vmclock.Timestamp) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.recordReading(from, incarnation, at)
 }
 
 // Reading returns a reading of this entry's clock, which other entries echo.
-func (m *Membership) Reading() awake.Timestamp { return m.timestamps.Encode(m.opts.Now()) }
+func (m *Membership) Reading() vmclock.Timestamp { return m.timestamps.Encode(m.opts.Now()) }
 
 // LastReading returns the last clock reading received from an incarnation, or zero if there is none.
-func (m *Membership) LastReading(of job.EntryID, incarnation job.Incarnation) awake.Timestamp {
+func (m *Membership) LastReading(of job.EntryID, incarnation job.Incarnation) vmclock.Timestamp {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if last := m.readings[of]; last.incarnation == incarnation {
@@ -78,7 +78,7 @@
 
 // Proof returns the time of an echoed reading by the clock of Options.Now. It reports false
 // for a reading that this incarnation didn't make.
-func (m *Membership) Proof(incarnation job.Incarnation, at awake.Timestamp) (time.Time, bool) {
+func (m *Membership) Proof(incarnation job.Incarnation, at vmclock.Timestamp) (time.Time, bool) {
 	if at == 0 || incarnation != m.opts.Mesh.Self().Incarnation {
 		return time.Time{}, false
 	}
--- a/internal/awake/suspended_linux.go
+++ b/internal/vmclock/suspended_linux.go
@@ -1,4 +1,4 @@
-package awake
+package vmclock
 
 import (
 	"time"
--- a/internal/awake/suspended_other.go
+++ b/internal/vmclock/suspended_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package awake
+package vmclock
 
 import "time"
 
--- a/internal/awake/awake.go
+++ b/internal/vmclock/vmclock.go
@@ -1,11 +1,11 @@
-// Package awake provides a clock that also counts the time for which the VM was suspended.
+// Package vmclock provides a clock that also counts the time for which the VM was suspended.
 //
 // A VM is paused when it is migrated, saved or starved of its processor, and resumes without
 // notice. Depending on how the VM was paused, the monotonic clock goes on meanwhile or stops
 // too, so a decision based on it alone may rely on a state that is seconds old. Timers fire
 // late, and in any order relative to messages that arrived meanwhile. Code that depends on
 // the elapsed time therefore reads this clock at the moment of its decision.
-package awake
+package vmclock
 
 import (
 	"time"
