--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -50,8 +50,9 @@
 	SplitCPU     time.Duration
 	QuotaCPU     time.Duration
 	QueuedBytes  float64
-	// LeaseRenewalCPU and LeaseRenewalBytes are the cost of one renewal of the leases on a busy target.
-	// Exchange is the cost of one exchange of known entries, by the number of entries.
+	// LeaseRenewalCPU and LeaseRenewalBytes are the cost of one renewal of the leases on a
+	// busy target. Exchange is the cost of one exchange of known entries, by the number of
+	// entries.
 	LeaseRenewalCPU   time.Duration
 	LeaseRenewalBytes float64
 	Exchange          []ExchangeCost
--- a/internal/entry/announced_test.go
+++ b/internal/entry/announced_test.go
@@ -108,7 +108,7 @@
 // arrives when the next incarnation has long been held at that address. If it counted as
 // newer, it would displace the working incarnation, whose own announcements would then be
 // refused for a minute.
-func TestOvertakenAnnouncementDoesNotDisplaceALaterLife(t *testing.T) {
+func TestOvertakenAnnouncementDoesNotDisplaceALaterIncarnation(t *testing.T) {
 	listening := map[string]job.TargetID{"10.0.0.1:80": "t1", "10.0.0.2:80": "t2"}
 	ts := newTestTargets(t, listening)
 	_, _, err := ts.announce(t.Context(), testTarget("former", "p", "10.0.0.1:80"))
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -176,8 +176,8 @@
 	return h.removeTarget(id, false)
 }
 
-// RemoveStoppingTarget removes a target whose stop is planned: when it ends later, its tasks are not
-// suspected of having crashed it.
+// RemoveStoppingTarget removes a target whose stop is planned: when it ends later, its tasks
+// are not suspected of having crashed it.
 func (h *Holder) RemoveStoppingTarget(id job.TargetID) { h.removeTarget(id, true) }
 
 // TargetEnded records that a target's process has ended, before its runs are known to be
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -239,8 +239,8 @@
 	Wronged bool
 }
 
-// ApplyHeartbeat applies a heartbeat. A heartbeat of an incarnation earlier than the known one comes
-// from a process that has ended and is ignored.
+// ApplyHeartbeat applies a heartbeat. A heartbeat of an incarnation earlier than the known one
+// comes from a process that has ended and is ignored.
 func (d *Detector) ApplyHeartbeat(now time.Time, from job.Owner, state State, revision uint32) HeartbeatResult {
 	p := d.peer(from.Entry)
 	if p == nil || from.Incarnation < p.Incarnation {
@@ -440,8 +440,8 @@
 	return heardAny && unreachable && d.hasZoneMate()
 }
 
-// UpdateIsolation records when this entry became isolated. Once it hears others again, it reverts the
-// deaths that it declared meanwhile to suspect, because it was this entry that was
+// UpdateIsolation records when this entry became isolated. Once it hears others again, it
+// reverts the deaths that it declared meanwhile to suspect, because it was this entry that was
 // partitioned. Entries that aren't watched revert to alive.
 func (d *Detector) UpdateIsolation(now time.Time, refused func(job.EntryID) bool) []Change {
 	isolated := d.isolated(refused)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -279,8 +279,8 @@
 	}
 }
 
-// applyHeartbeatResult queues the update that a sign of life brought. It returns the update that the
-// sender has to refute, or nil if there is none. The caller holds the lock.
+// applyHeartbeatResult queues the update that a sign of life brought. It returns the update
+// that the sender has to refute, or nil if there is none. The caller holds the lock.
 func (m *Membership) applyHeartbeatResult(from job.Owner, result HeartbeatResult) *Update {
 	if m.watchSet.All {
 		return nil
--- a/internal/membership/proof.go
+++ b/internal/membership/proof.go
@@ -66,7 +66,8 @@
 // Reading returns a reading of this entry's clock, which other entries echo.
 func (m *Membership) Reading() vmclock.Timestamp { return m.timestamps.Encode(m.opts.Now()) }
 
-// LastReading returns the last clock reading received from an incarnation, or zero if there is none.
+// LastReading returns the last clock reading received from an incarnation, or zero if there is
+// none.
 func (m *Membership) LastReading(of job.EntryID, incarnation job.Incarnation) vmclock.Timestamp {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/policy/ownership/ownership.go
+++ b/internal/policy/ownership/ownership.go
@@ -30,11 +30,11 @@
 	// used up. A shorter term would end healthy work. The upper limit is the time after
 	// which a caller resubmits its job, minus the time needed to stop running work.
 	Term = 950 * time.Millisecond
-	// MaxWorkAfterProof is how long after a proof of liveness work may still run for its owner: until
-	// the end of the term plus the time of a stop, or until the end of the target's
-	// lease, which is not renewed beyond MaxWorkAfterProof. Callers resubmit a job 1.3 s after they
-	// have lost its owner; the difference allows for clocks that differ by 2% and for the
-	// network delay of a start request.
+	// MaxWorkAfterProof is how long after a proof of liveness work may still run for its
+	// owner: until the end of the term plus the time of a stop, or until the end of the
+	// target's lease, which is not renewed beyond MaxWorkAfterProof. Callers resubmit a job
+	// 1.3 s after they have lost its owner; the difference allows for clocks that differ by 2%
+	// and for the network delay of a start request.
 	MaxWorkAfterProof = 1200 * time.Millisecond
 )
 
--- a/internal/runs/requests.go
+++ b/internal/runs/requests.go
@@ -120,8 +120,8 @@
 	Ended   []End
 }
 
-// TargetClient sends requests to one target. After an error the request may be carried out or not, now
-// or later.
+// TargetClient sends requests to one target. After an error the request may be carried out or
+// not, now or later.
 type TargetClient interface {
 	Start(ctx context.Context, o StartRequest) (Reply, error)
 	Stop(ctx context.Context, o StopRequest) (Reply, error)
