--- a/cmd/vanillagrade/capacity.go
+++ b/cmd/vanillagrade/capacity.go
@@ -28,7 +28,7 @@
 	overrideIfGiven(&size.Starts, c.Starts)
 	overrideIfGiven(&size.TasksPerJob, c.TasksPerJob)
 	overrideIfGiven(&size.Changes, c.Changes)
-	slopes, err := capacity.Measure(capacity.Platform{Orders: platform.NewClient(nil).Orders, StandIn: platform.StandIn})
+	slopes, err := capacity.Measure(capacity.Platform{Orders: platform.NewClient(nil).Worker, FakeWorker: platform.FakeWorker})
 	if err != nil {
 		return fail(stderr, exitFailed, err)
 	}
@@ -36,7 +36,7 @@
 		return fail(stderr, exitFailed, err)
 	}
 	for _, lease := range append([]time.Duration{config.DefaultLease}, c.Leases...) {
-		size.Renew = lease / target.Renewals
+		size.Renew = lease / target.RenewalsPerLease
 		if err := capacity.WriteSize(stdout, &size, slopes); err != nil {
 			return fail(stderr, exitFailed, err)
 		}
--- a/internal/capacity/discovery.go
+++ b/internal/capacity/discovery.go
@@ -12,24 +12,24 @@
 	"github.com/vanillagrade/vanillagrade/internal/peer/peertest"
 )
 
-// AtExchange is the cost of one exchange of known entries for a given number of
+// ExchangeCost is the cost of one exchange of known entries for a given number of
 // entries.
-type AtExchange struct {
+type ExchangeCost struct {
 	Entries int
 	CPU     time.Duration
 	Bytes   float64
 }
 
-// newBook returns a book with the given number of known entries.
-func newBook(self job.EntryID, address string, entries int) *discovery.Book {
-	book := discovery.NewBook(discovery.Record{Owner: job.Owner{Entry: self, Incarnation: 1, Zone: "z"}, Address: address})
+// newDirectory returns a directory with the given number of known entries.
+func newDirectory(self job.EntryID, address string, entries int) *discovery.Directory {
+	directory := discovery.NewDirectory(discovery.Record{Owner: job.Owner{Entry: self, Incarnation: 1, Zone: "z"}, Address: address})
 	for i := range entries {
-		book.Learn(time.Now(), discovery.Record{
+		directory.Learn(time.Now(), discovery.Record{
 			Owner:   job.Owner{Entry: job.EntryID(fmt.Sprintf("entry-zone-%d-%03d", i%7, i)), Incarnation: job.Incarnation(time.Now().UnixNano()), Zone: job.Zone(fmt.Sprintf("zone-%d", i%7))},
 			Address: fmt.Sprintf("10.1.%d.%d:7720", i/250, i%250+1),
 		})
 	}
-	return book
+	return directory
 }
 
 // measureDiscovery measures one exchange between two entries that know all others. The
@@ -48,18 +48,18 @@
 	return nil
 }
 
-func (m *Slopes) measureExchange(entries int, minTime time.Duration) (AtExchange, error) {
+func (m *Slopes) measureExchange(entries int, minTime time.Duration) (ExchangeCost, error) {
 	network := &peertest.Network{}
 	var answering *discovery.Joiner
 	l, stop, err := serveCounted(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { answering.ServeHTTP(w, r) }))
 	if err != nil {
-		return AtExchange{}, errors.Trace(err)
+		return ExchangeCost{}, errors.Trace(err)
 	}
 	defer stop()
 	address := l.Addr().String()
 	joiner := func(self job.EntryID, at string) *discovery.Joiner {
 		return discovery.New(discovery.Options{
-			Book: newBook(self, at, entries), Mesh: network.Join(job.Owner{Entry: self, Incarnation: 1, Zone: "z"}),
+			Book: newDirectory(self, at, entries), Mesh: network.Join(job.Owner{Entry: self, Incarnation: 1, Zone: "z"}),
 			Seeds: func() []string { return nil }, OnNews: func([]discovery.Record) {},
 		})
 	}
@@ -67,18 +67,18 @@
 	asking := joiner("asks", "10.2.0.1:7720")
 	count := 0
 	cpu := cpuPerCall(minTime, func(int) {
-		asking.Meet(address)
+		asking.Exchange(address)
 		count++
 	})
 	if !asking.Joined() {
-		return AtExchange{}, errors.New("the exchange got no answer")
+		return ExchangeCost{}, errors.New("the exchange got no answer")
 	}
-	return AtExchange{Entries: entries, CPU: cpu, Bytes: float64(l.bytes.Load()) / float64(count)}, nil
+	return ExchangeCost{Entries: entries, CPU: cpu, Bytes: float64(l.bytes.Load()) / float64(count)}, nil
 }
 
 // nearestExchange returns the measurement whose number of entries is nearest to n.
-func (m *Slopes) nearestExchange(n int) AtExchange {
-	var best AtExchange
+func (m *Slopes) nearestExchange(n int) ExchangeCost {
+	var best ExchangeCost
 	for _, x := range m.Exchange {
 		if best.Entries == 0 || abs(x.Entries-n) < abs(best.Entries-n) {
 			best = x
--- a/internal/capacity/leases.go
+++ b/internal/capacity/leases.go
@@ -16,10 +16,10 @@
 
 // Platform provides a client for, and a fake of, targets that run tasks under a lease.
 type Platform struct {
-	Orders func(job.Target) runs.Orders
-	// StandIn returns a handler that answers like a target with the given number of
+	Orders func(job.Target) runs.TargetClient
+	// FakeWorker returns a handler that answers like a target with the given number of
 	// running tasks.
-	StandIn func(runs int) (http.Handler, error)
+	FakeWorker func(runs int) (http.Handler, error)
 }
 
 // runsPerTarget is the number of tasks on a busy target, one per slot.
@@ -88,7 +88,7 @@
 
 // measureRenewalsWith measures the renewal of the leases of n runs.
 func (m *Slopes) measureRenewalsWith(p Platform, n int, minTime time.Duration) error {
-	handler, err := p.StandIn(n)
+	handler, err := p.FakeWorker(n)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -103,15 +103,15 @@
 	defer client.Close()
 	count := 0
 	var lastErr error
-	m.LookCPU = cpuPerCall(minTime, func(i int) {
-		if _, err := client.Renew(context.Background(), runs.RenewOrder{Until: int64(i), Epoch: 1 << 40, WaitMillis: 350}); err != nil {
+	m.LeaseRenewalCPU = cpuPerCall(minTime, func(i int) {
+		if _, err := client.Renew(context.Background(), runs.PollRequest{Until: int64(i), Epoch: 1 << 40, WaitMillis: 350}); err != nil {
 			lastErr = err
 		}
 		count++
 	})
-	m.LookBytes = float64(l.bytes.Load()) / float64(count)
+	m.LeaseRenewalBytes = float64(l.bytes.Load()) / float64(count)
 	at := fmt.Sprintf("%d runs", n)
-	m.addCPU("one renewal of the leases on a target, the stand-in included", at, m.LookCPU)
-	m.addPoint("one renewal of the leases on a target and its answer, without TCP and IP headers", at, m.LookBytes, "bytes")
+	m.addCPU("one renewal of the leases on a target, the stand-in included", at, m.LeaseRenewalCPU)
+	m.addPoint("one renewal of the leases on a target and its answer, without TCP and IP headers", at, m.LeaseRenewalBytes, "bytes")
 	return errors.Trace(lastErr)
 }
--- a/internal/entry/announced_test.go
+++ b/internal/entry/announced_test.go
@@ -89,7 +89,7 @@
 			qt.Check(t, err, qt.IsNotNil)
 			qt.Check(t, errors.Is(err, errors.NotValid) || errors.Is(err, errors.AlreadyExists), qt.IsTrue, qt.Commentf("%v", err))
 			qt.Check(t, ts.malformed.Total(malformed.Announcement), qt.Equals, uint64(1))
-			if err := ts.Leaving(t.Context(), &wrong); err == nil {
+			if err := ts.AnnounceStop(t.Context(), &wrong); err == nil {
 				// A target that is not held here may stop: there is nothing to remove.
 				qt.Check(t, wrong.ID == "t1", qt.IsFalse)
 			}
@@ -108,7 +108,7 @@
 // arrives when the next incarnation has long been held at that address. If it counted as
 // newer, it would displace the working incarnation, whose own announcements would then be
 // refused for a minute.
-func TestOvertakenAnnouncementDoesNotDisplaceALaterLife(t *testing.T) {
+func TestOvertakenAnnouncementDoesNotDisplaceALaterIncarnation(t *testing.T) {
 	listening := map[string]job.TargetID{"10.0.0.1:80": "t1", "10.0.0.2:80": "t2"}
 	ts := newTestTargets(t, listening)
 	_, _, err := ts.announce(t.Context(), testTarget("former", "p", "10.0.0.1:80"))
@@ -134,7 +134,7 @@
 	_, _, err = ts.announce(t.Context(), testTarget("t3", "p", "10.0.0.3:80"))
 	qt.Assert(t, err, qt.ErrorMatches, `.*service "p": not in configuration 8: target not valid.*`)
 	leaving := testTarget("t1", "p", "10.0.0.1:80")
-	qt.Assert(t, ts.Leaving(t.Context(), &leaving), qt.IsNil)
+	qt.Assert(t, ts.AnnounceStop(t.Context(), &leaving), qt.IsNil)
 	qt.Assert(t, ts.registry.Holds("t1"), qt.IsFalse)
 	// Before the first configuration the set of pools is unknown.
 	ts.config = config.Fixed{}
@@ -177,50 +177,50 @@
 		ts.removeEnded(job.TargetID("x" + strconv.Itoa(i)))
 	}
 	qt.Assert(t, ts.registry.Held(), qt.HasLen, 2)
-	qt.Assert(t, ts.registry.Buried() <= 20_000, qt.IsTrue)
+	qt.Assert(t, ts.registry.EndedCount() <= 20_000, qt.IsTrue)
 	ts.removeEnded("t1")
 	_, _, err := ts.announce(t.Context(), testTarget("t1", "p", "10.0.0.1:80"))
 	qt.Assert(t, errors.Is(err, target.ErrWithdrawn), qt.IsTrue)
 }
 
-// fakeOrders answers status queries in place of a target.
-type fakeOrders struct {
-	look runs.Look
-	err  error
+// fakeTargetClient answers status queries in place of a target.
+type fakeTargetClient struct {
+	reply runs.PollReply
+	err   error
 }
 
-func (a fakeOrders) Start(context.Context, runs.StartOrder) (runs.Reply, error) {
+func (a fakeTargetClient) Start(context.Context, runs.StartRequest) (runs.Reply, error) {
 	return runs.Reply{}, nil
 }
 
-func (a fakeOrders) Stop(context.Context, runs.StopOrder) (runs.Reply, error) {
+func (a fakeTargetClient) Stop(context.Context, runs.StopRequest) (runs.Reply, error) {
 	return runs.Reply{}, nil
 }
 
-func (a fakeOrders) Renew(_ context.Context, o runs.RenewOrder) (runs.Look, error) {
-	if o != (runs.RenewOrder{}) {
-		return runs.Look{}, errors.New("the query must change nothing at the target")
+func (a fakeTargetClient) Renew(_ context.Context, o runs.PollRequest) (runs.PollReply, error) {
+	if o != (runs.PollRequest{}) {
+		return runs.PollReply{}, errors.New("the query must change nothing at the target")
 	}
-	return a.look, a.err
+	return a.reply, a.err
 }
 
-func (a fakeOrders) Close() {}
+func (a fakeTargetClient) Close() {}
 
 // A target counts as listening only if it answers without ambiguity.
-func TestAskingWhoListens(t *testing.T) {
+func TestListenCheckNeedsAClearAnswer(t *testing.T) {
 	for _, c := range []struct {
-		answer fakeOrders
+		answer fakeTargetClient
 		want   bool
 	}{
-		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Accepted, Clock: 1}}}, true},
-		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Fenced, Clock: 1}}}, true},
-		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Accepted}}}, false},
-		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Fenced}}}, false},
-		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Elsewhere}}}, false},
-		{fakeOrders{look: runs.Look{Reply: runs.Reply{Refusal: runs.Unwell}}}, false},
-		{fakeOrders{err: peer.ErrNoAnswer}, false},
+		{fakeTargetClient{reply: runs.PollReply{Reply: runs.Reply{Refusal: runs.Accepted, Clock: 1}}}, true},
+		{fakeTargetClient{reply: runs.PollReply{Reply: runs.Reply{Refusal: runs.Fenced, Clock: 1}}}, true},
+		{fakeTargetClient{reply: runs.PollReply{Reply: runs.Reply{Refusal: runs.Accepted}}}, false},
+		{fakeTargetClient{reply: runs.PollReply{Reply: runs.Reply{Refusal: runs.Fenced}}}, false},
+		{fakeTargetClient{reply: runs.PollReply{Reply: runs.Reply{Refusal: runs.WrongIncarnation}}}, false},
+		{fakeTargetClient{reply: runs.PollReply{Reply: runs.Reply{Refusal: runs.Unavailable}}}, false},
+		{fakeTargetClient{err: peer.ErrNoAnswer}, false},
 	} {
-		listens := newListenCheck(func(job.Target) runs.Orders { return c.answer })
+		listens := newListenCheck(func(job.Target) runs.TargetClient { return c.answer })
 		qt.Check(t, listens(testTarget("t1", "p", "10.0.0.1:80")), qt.Equals, c.want, qt.Commentf("%+v", c.answer))
 	}
 	qt.Assert(t, probeTimeout < time.Second, qt.IsTrue)
--- a/internal/entry/attach.go
+++ b/internal/entry/attach.go
@@ -22,8 +22,8 @@
 	return &api.Caller{Dispatcher: e, Config: e.config, Memory: e.memory}
 }
 
-// Refused records a refusal by another server of this entry.
-func (e *Entry) Refused(a job.Answer) { e.record.Refused(a) }
+// RecordRefusal records a refusal by another server of this entry.
+func (e *Entry) RecordRefusal(a job.Answer) { e.record.RecordRefusal(a) }
 
 // Config returns the view of the configuration in effect.
 func (e *Entry) Config() config.View { return e.config }
@@ -49,10 +49,10 @@
 	return host, errors.Trace(err)
 }
 
-// Leaving announces that a target accepts no more work. It returns nil only if each entry
+// AnnounceStop announces that a target accepts no more work. It returns nil only if each entry
 // that may hold the target has been notified.
-func (e *Entry) Leaving(ctx context.Context, t job.Target) error {
-	return e.targets.Leaving(ctx, &t)
+func (e *Entry) AnnounceStop(ctx context.Context, t job.Target) error {
+	return e.targets.AnnounceStop(ctx, &t)
 }
 
 // Withdraw announces that a target has ended.
@@ -69,7 +69,7 @@
 	m := e.metrics
 	m.Gauge("vanillagrade_log_lines_left_out", func() float64 { return float64(e.eventLog.LeftOut()) })
 	m.Gauge("vanillagrade_log_lines_dropped", func() float64 { return float64(droppedLines()) })
-	m.Gauge("vanillagrade_submissions_running", func() float64 { return float64(e.join.Running()) })
+	m.Gauge("vanillagrade_submissions_running", func() float64 { return float64(e.join.RunningCount()) })
 	m.Gauge("vanillagrade_configuration_number", func() float64 { return float64(e.Configuration()) })
 	m.Gauge("vanillagrade_body_bytes", func() float64 { return float64(e.memory.Used()) })
 	m.Gauge("vanillagrade_targets_held", func() float64 { return float64(len(e.targets.registry.Held())) })
@@ -78,16 +78,16 @@
 		m.Gauge(fmt.Sprintf("vanillagrade_malformed_total{kind=%q}", kind), func() float64 { return float64(e.opts.Malformed.Total(kind)) })
 	}
 	m.Gauge("vanillagrade_tasks_suspected", func() float64 { return float64(e.crashes.tracker.Len()) })
-	m.Gauge("vanillagrade_links", func() float64 { return float64(e.links.Standing()) })
+	m.Gauge("vanillagrade_links", func() float64 { return float64(e.links.OpenLinks()) })
 	m.Gauge("vanillagrade_links_opened", func() float64 { return float64(e.links.Opened()) })
 	m.Gauge(`vanillagrade_target_calls{kind="start"}`, func() float64 { return float64(e.calls.Starts.Load()) })
-	m.Gauge(`vanillagrade_target_calls{kind="look"}`, func() float64 { return float64(e.calls.Looks.Load()) })
+	m.Gauge(`vanillagrade_target_calls{kind="look"}`, func() float64 { return float64(e.calls.Polls.Load()) })
 	m.Gauge(`vanillagrade_target_calls{kind="stop"}`, func() float64 { return float64(e.calls.Stops.Load()) })
 	m.Gauge("vanillagrade_slots_known", func() float64 { return float64(e.totalSlots()) })
 	m.Gauge("vanillagrade_agreement_rounds", func() float64 { return float64(e.register.Round()) })
-	m.Gauge("vanillagrade_voters_heard", func() float64 { return float64(e.register.VoterFigures().Heard) })
-	m.Gauge("vanillagrade_voter_losses_left", func() float64 { return float64(e.register.VoterFigures().LossesLeft) })
-	m.Gauge("vanillagrade_spare_disks", func() float64 { return float64(e.register.VoterFigures().Spares) })
+	m.Gauge("vanillagrade_voters_heard", func() float64 { return float64(e.register.VoterMetrics().Reachable) })
+	m.Gauge("vanillagrade_voter_losses_left", func() float64 { return float64(e.register.VoterMetrics().LossesLeft) })
+	m.Gauge("vanillagrade_spare_disks", func() float64 { return float64(e.register.VoterMetrics().Spares) })
 	for _, kind := range peer.Kinds() {
 		for name, read := range messageCounters {
 			m.Gauge(fmt.Sprintf("%s{kind=%q}", name, kind), func() float64 { return float64(read(e.messageStats(kind))) })
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -16,7 +16,6 @@
 	"github.com/oklog/run"
 
 	"github.com/vanillagrade/vanillagrade/internal/api"
-	"github.com/vanillagrade/vanillagrade/internal/awake"
 	"github.com/vanillagrade/vanillagrade/internal/config"
 	"github.com/vanillagrade/vanillagrade/internal/discovery"
 	"github.com/vanillagrade/vanillagrade/internal/eventlog"
@@ -37,6 +36,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/storage"
 	"github.com/vanillagrade/vanillagrade/internal/target"
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
+	"github.com/vanillagrade/vanillagrade/internal/vmclock"
 )
 
 // Options describes one entry.
@@ -52,12 +52,12 @@
 	// Config, when set, replaces the configuration that the entries agree on; the
 	// load tool uses it.
 	Config config.View
-	// Linger is how long a stopping entry keeps answering after its work has
-	// ended; zero means DefaultLinger.
-	Linger time.Duration
-	// Notice is how long a stopping entry accepts submissions after it has reported
+	// LingerPeriod is how long a stopping entry keeps answering after its work has
+	// ended; zero means DefaultLingerPeriod.
+	LingerPeriod time.Duration
+	// NoticePeriod is how long a stopping entry accepts submissions after it has reported
 	// that it is not ready: the balancer sends callers until it notices.
-	Notice time.Duration
+	NoticePeriod time.Duration
 	// Grace is how long a planned stop may take before the remaining submissions are
 	// answered as failed; zero waits for all of them.
 	Grace time.Duration
@@ -69,7 +69,7 @@
 	Malformed *malformed.Tally
 	// Orders, when set, returns the client for a target that runs tasks under a lease,
 	// in place of the targets' HTTP interface.
-	Orders func(job.Target) runs.Orders
+	Orders func(job.Target) runs.TargetClient
 	// Lease is the longest lease that such a target grants; zero means the default.
 	Lease time.Duration
 	// Suspended returns the total time for which the VM was suspended so far; nil means
@@ -81,11 +81,11 @@
 	// counts it for the metrics address.
 	LogEvents bool
 	// Attach, when set, returns additional servers of this entry.
-	Attach func(*Entry) []Attached
+	Attach func(*Entry) []AttachedServer
 }
 
-// Attached is an additional server of an entry. Its listener is already open.
-type Attached struct {
+// AttachedServer is an additional server of an entry. Its listener is already open.
+type AttachedServer struct {
 	Listener net.Listener
 	Server   *http.Server
 	// Intake says that the server only accepts submissions. The server ends when a
@@ -102,8 +102,8 @@
 	self  job.Owner
 	log   *slog.Logger
 	clock *timeline.Clock
-	// awake is the clock by which this entry detects that it was paused.
-	awake awake.Clock
+	// vmClock is the clock by which this entry detects that it was paused.
+	vmClock vmclock.Clock
 	// rights holds the rights to act for owners of transient work; nil where heartbeats
 	// are too sparse for it and no work is transient.
 	rights *rights
@@ -117,7 +117,7 @@
 	members          *membership.Membership
 	lastIncarnations lastIncarnations
 	// discovered and joiner discover the other entries; nil where the settings name them.
-	discovered *discovery.Book
+	discovered *discovery.Directory
 	joiner     *discovery.Joiner
 
 	record         *pipeline.Record
@@ -163,13 +163,13 @@
 // of a small entry VM's 1 GiB. Payloads are held once, as received.
 const maxBodyBytes = 512 << 20
 
-// DefaultLinger is how long a stopping entry keeps its listener and its
+// DefaultLingerPeriod is how long a stopping entry keeps its listener and its
 // connections. A caller that reuses a connection may write its next request while
 // the entry closes the connection, and can't know whether the entry read it. While
 // the entry lingers, each answer closes its connection, so at the end only
 // connections that were idle for the whole time remain to be closed. One second is
 // longer than the time between two requests on any busy connection.
-const DefaultLinger = time.Second
+const DefaultLingerPeriod = time.Second
 
 // stopTimeout bounds how long a stop waits, after all work has ended, for callers that
 // do not read their answers.
@@ -183,8 +183,8 @@
 	if o.Malformed == nil {
 		o.Malformed = malformed.New(o.Log)
 	}
-	if o.Linger == 0 {
-		o.Linger = DefaultLinger
+	if o.LingerPeriod == 0 {
+		o.LingerPeriod = DefaultLingerPeriod
 	}
 	if o.Incarnation == 0 {
 		o.Incarnation = job.Incarnation(time.Now().UnixNano())
@@ -194,12 +194,12 @@
 	}
 	self := job.Owner{Entry: o.Settings.Name, Incarnation: o.Incarnation, Zone: o.Settings.Zone}
 	e := &Entry{
-		opts:   o,
-		self:   self,
-		log:    o.Log.With("entry", self.Entry, "availability_zone", self.Zone),
-		clock:  timeline.NewClock(time.Now),
-		awake:  awake.Clock{Suspended: o.Suspended},
-		memory: api.NewByteBudget(maxBodyBytes),
+		opts:    o,
+		self:    self,
+		log:     o.Log.With("entry", self.Entry, "availability_zone", self.Zone),
+		clock:   timeline.NewClock(time.Now),
+		vmClock: vmclock.Clock{Suspended: o.Suspended},
+		memory:  api.NewByteBudget(maxBodyBytes),
 
 		stopping:     make(chan struct{}),
 		started:      time.Now(),
@@ -231,7 +231,7 @@
 	e.assemblePath()
 	e.configure(nil, e.config.Current())
 	e.register.OnChange(e.configure)
-	e.register.OnChange(func(_, _ *config.File) { go e.members.Spread() })
+	e.register.OnChange(func(_, _ *config.File) { go e.members.AnnounceConfig() })
 	e.members.OnChange(e.setView)
 	return nil
 }
@@ -264,12 +264,12 @@
 	e.crashes.members = e.members
 	e.handoverServer = handover.Serve(e.links, e.holder)
 	e.handoverServer.OnOffer(e.members.Touch)
-	e.handoverServer.RecordTo(e.events)
-	e.handoverServer.TellLoads(e.holder.Load)
+	e.handoverServer.SetEventSink(e.events)
+	e.handoverServer.ReportLoads(e.holder.Load)
 	e.remote = handover.NewRemote(handover.RemoteOptions{
-		Mesh: e.links, Gone: e.members.Gone, Silent: e.members.Silent,
-		Proof: e.proofFor, Learn: e.members.Learn, Events: e.events,
-		Loaded: func(from job.EntryID, l job.HolderLoad) { e.holders.recordAnswerLoad(from, l) },
+		Mesh: e.links, Gone: e.members.Gone, SinceLastMessage: e.members.Silent,
+		Proof: e.proofFor, Learn: e.members.RecordReading, Events: e.events,
+		OnLoad: func(from job.EntryID, l job.HolderLoad) { e.holders.recordAnswerLoad(from, l) },
 	})
 	e.holders = newHolders(e.self, e.holder, e.remote, e.members)
 	e.targets = newTargets(e)
@@ -286,9 +286,9 @@
 	e.admit = pipeline.NewAdmit(e.events)
 	e.assembleRegistrar()
 	e.serveSearches()
-	fresh := &pipeline.Fresh{Events: e.events}
+	fresh := &pipeline.Freshness{Events: e.events}
 	if e.rights != nil {
-		e.handoverServer.NeedRights(e.rights)
+		e.handoverServer.RequireRights(e.rights)
 		fresh.Right = e.rights.ownRight
 	}
 	e.chain = pipeline.Chain(
@@ -313,12 +313,12 @@
 	listen := e.opts.Listeners
 	if listen.Caller != nil {
 		e.addActor(&g, func(ctx context.Context) error {
-			return e.serve(ctx, api.Server(api.Closing(caller.Handler(), e.draining.Load), e.log), listen.Caller)
+			return e.serve(ctx, api.Server(api.CloseWhileDraining(caller.Handler(), e.draining.Load), e.log), listen.Caller)
 		})
 	}
 	if e.opts.Attach != nil {
 		for _, a := range e.opts.Attach(e) {
-			a.Server.Handler = api.Closing(a.Server.Handler, e.draining.Load)
+			a.Server.Handler = api.CloseWhileDraining(a.Server.Handler, e.draining.Load)
 			e.addActor(&g, func(ctx context.Context) error { return e.serveAttached(ctx, a) })
 		}
 	}
@@ -393,7 +393,7 @@
 	g.Add(func() error { return f(ctx) }, func(error) { cancel() })
 }
 
-func (e *Entry) serveAttached(ctx context.Context, a Attached) error {
+func (e *Entry) serveAttached(ctx context.Context, a AttachedServer) error {
 	if !a.Intake {
 		return e.serve(ctx, a.Server, a.Listener)
 	}
@@ -433,5 +433,5 @@
 // Load returns the load of the pool's targets that this entry holds.
 func (e *Entry) Load(pool string) job.HolderLoad { return e.holder.Load(pool) }
 
-// Driving returns how many submissions this entry drives.
-func (e *Entry) Driving() int { return e.join.Driving() }
+// DrivenSubmissions returns how many submissions this entry drives.
+func (e *Entry) DrivenSubmissions() int { return e.join.OwnedCount() }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -26,7 +26,7 @@
 	}
 	defer func() {
 		if e.opts.Settings.Discover {
-			e.members.Add(membership.Peer{Entry: e.self.Entry, Zone: e.self.Zone, Reserve: e.opts.Settings.DataDir != "", Carries: assign.Carries(e.opts.Settings.Processors, e.opts.Settings.LinkMbps)})
+			e.members.Add(membership.Peer{Entry: e.self.Entry, Zone: e.self.Zone, Reserve: e.opts.Settings.DataDir != "", Carries: assign.TargetCapacity(e.opts.Settings.Processors, e.opts.Settings.LinkMbps)})
 		}
 	}()
 	var recordProof func(job.Owner, time.Time)
@@ -38,21 +38,21 @@
 		exchange = e.exchangeRecords
 	}
 	e.members = membership.New(membership.Options{
-		Now:     e.awake.Now,
-		Proved:  recordProof,
-		Speaks:  mayProve,
-		Mesh:    e.links,
-		Peers:   peers,
-		Across:  across,
-		Log:     e.log,
-		Events:  e.events,
-		Config:  e.register,
-		Loads:   e.holder.Loads,
-		Refused: e.links.Refused,
-		Busy:    e.sharesWorkWith,
-		Stand:   e.links.Stand,
-		Loaded:  e.recordLoads,
-		Compare: exchange,
+		Now:       e.vmClock.Now,
+		Proved:    recordProof,
+		MayProve:  mayProve,
+		Mesh:      e.links,
+		Peers:     peers,
+		Across:    across,
+		Log:       e.log,
+		Events:    e.events,
+		Config:    e.register,
+		Loads:     e.holder.Loads,
+		Refused:   e.links.Refused,
+		Busy:      e.sharesWorkWith,
+		KeepLinks: e.links.SetPersistent,
+		Loaded:    e.recordLoads,
+		Compare:   exchange,
 	})
 }
 
--- a/internal/entry/pause_test.go
+++ b/internal/entry/pause_test.go
@@ -28,7 +28,7 @@
 
 func (c *slowConn) Start(ctx context.Context, t target.Task) target.Result {
 	if t.Unwanted() {
-		return target.Withdrawn()
+		return target.CancelledBeforeSend()
 	}
 	c.starts.Add(1)
 	select {
@@ -68,7 +68,7 @@
 	other := p.net.Join(job.Owner{Entry: "o", Incarnation: 1, Zone: "y"})
 	p.entry = p.assemble(mesh)
 	otherMembers := membership.New(membership.Options{Mesh: other, Peers: []membership.Peer{{Entry: "h", Zone: "z"}}, Across: crossZoneTimings})
-	p.owner = handover.NewRemote(handover.RemoteOptions{Mesh: other, Silent: otherMembers.Silent, Proof: otherMembers.Last, Learn: otherMembers.Learn})
+	p.owner = handover.NewRemote(handover.RemoteOptions{Mesh: other, SinceLastMessage: otherMembers.Silent, Proof: otherMembers.LastReading, Learn: otherMembers.RecordReading})
 	go func() { _ = otherMembers.Run(p.ctx) }()
 	p.resume()
 	p.entry.holder.SetTarget(job.Target{ID: "t", Pool: "p", Zone: "z", Slots: 1, Connections: 1})
@@ -84,7 +84,7 @@
 	e.members = membership.New(membership.Options{Mesh: mesh, Peers: []membership.Peer{{Entry: "o", Zone: "y"}}, Across: crossZoneTimings, Proved: e.rights.recordProof})
 	e.handoverServer = handover.Serve(mesh, e.holder)
 	e.handoverServer.OnOffer(e.members.Touch)
-	e.handoverServer.NeedRights(e.rights)
+	e.handoverServer.RequireRights(e.rights)
 	return e
 }
 
@@ -125,8 +125,8 @@
 	p.stopEntry()
 	p.cancel()
 	p.entry.holder.Close()
-	p.net.Leave("h")
-	p.net.Leave("o")
+	p.net.Crash("h")
+	p.net.Crash("o")
 	time.Sleep(10 * time.Second) // messages in transit are dropped
 }
 
@@ -140,7 +140,7 @@
 // unread in the meantime. When the entry resumes, it must not treat them as proof that the
 // owner is alive and start the queued task in parallel with the second run: the studio would
 // be billed twice.
-func TestWordFromBeforeAPauseStartsNothing(t *testing.T) {
+func TestOwnerMessageFromBeforeAPauseStartsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPausableEntry(t)
 		defer p.close()
--- a/internal/entry/rights.go
+++ b/internal/entry/rights.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"github.com/vanillagrade/vanillagrade/internal/awake"
 	"github.com/vanillagrade/vanillagrade/internal/job"
 	"github.com/vanillagrade/vanillagrade/internal/policy/ownership"
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
+	"github.com/vanillagrade/vanillagrade/internal/vmclock"
 )
 
 const (
@@ -21,13 +21,13 @@
 // rights are this entry's rights to act for the owners of transient work, itself included.
 type rights struct {
 	self    job.Owner
-	clock   *awake.Clock
+	clock   *vmclock.Clock
 	table   ownership.Table
-	proofOf func(life job.Incarnation, at awake.Reading) (time.Time, bool)
-	reading func() awake.Reading
+	proofOf func(life job.Incarnation, at vmclock.Timestamp) (time.Time, bool)
+	reading func() vmclock.Timestamp
 
 	mu     sync.Mutex
-	unread ownership.Unread
+	unread ownership.UnreadTracker
 	// lastRun is the time of the last owner check, selfLease this entry's right to act for
 	// itself as of then.
 	lastRun   time.Time
@@ -36,9 +36,9 @@
 
 func newRights(e *Entry) *rights {
 	return &rights{
-		self: e.self, clock: &e.awake,
-		proofOf: func(life job.Incarnation, at awake.Reading) (time.Time, bool) { return e.members.Proof(life, at) },
-		reading: func() awake.Reading { return e.members.Reading() },
+		self: e.self, clock: &e.vmClock,
+		proofOf: func(life job.Incarnation, at vmclock.Timestamp) (time.Time, bool) { return e.members.Proof(life, at) },
+		reading: func() vmclock.Timestamp { return e.members.Reading() },
 	}
 }
 
@@ -47,7 +47,7 @@
 // suspended, but the caller does.
 type right struct {
 	lease *ownership.Lease
-	clock *awake.Clock
+	clock *vmclock.Clock
 	// deadline is zero for a job without one.
 	deadline time.Time
 }
@@ -60,27 +60,27 @@
 	return out
 }
 
-// Holds implements job.Right.
-func (r right) Holds() bool {
+// Valid implements job.Right.
+func (r right) Valid() bool {
 	now := r.clock.Now()
 	return r.lease.Holds(now) && (r.deadline.IsZero() || now.Before(r.deadline))
 }
 
-// Left implements job.Right.
-func (r right) Left() time.Duration {
+// Remaining implements job.Right.
+func (r right) Remaining() time.Duration {
 	now := r.clock.Now()
-	left := r.lease.OverBy().Sub(now)
+	left := r.lease.WorkDeadline().Sub(now)
 	if r.deadline.IsZero() {
 		return left
 	}
-	return min(left, r.deadline.Sub(now)+ownership.Over-ownership.Term)
+	return min(left, r.deadline.Sub(now)+ownership.MaxWorkAfterProof-ownership.Term)
 }
 
 // Lost implements job.Right.
 func (r right) Lost() <-chan struct{} { return r.lease.Lost() }
 
 // Right implements handover.Rights.
-func (r *rights) Right(owner job.Owner, proof awake.Reading, remaining time.Duration) job.Right {
+func (r *rights) Right(owner job.Owner, proof vmclock.Timestamp, remaining time.Duration) job.Right {
 	at, ok := r.proofOf(r.self.Incarnation, proof)
 	if !ok {
 		return nil
@@ -93,7 +93,7 @@
 }
 
 // Reading implements handover.Rights.
-func (r *rights) Reading() awake.Reading { return r.reading() }
+func (r *rights) Reading() vmclock.Timestamp { return r.reading() }
 
 // recordProof records that an owner was alive at a time.
 func (r *rights) recordProof(owner job.Owner, at time.Time) { r.table.Renew(r.clock.Now(), owner, at) }
@@ -101,7 +101,7 @@
 // ownRight returns this entry's right to act for its own callers, for a request that was
 // read now. It reports false if the request may have been waiting since before a pause.
 func (r *rights) ownRight(remaining time.Duration) (job.Right, bool) {
-	lease := r.table.Of(r.clock.Now(), r.self)
+	lease := r.table.Lookup(r.clock.Now(), r.self)
 	if lease == nil || r.mayReadStale() {
 		return nil, false
 	}
@@ -115,12 +115,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastRun = now
-	r.unread.Ran(gap)
-	if r.selfLease != nil && r.table.Of(now, r.self) == nil {
+	r.unread.Advance(gap)
+	if r.selfLease != nil && r.table.Lookup(now, r.self) == nil {
 		r.selfLease = nil
 		r.unread.Paused()
 	}
-	if !r.unread.Old() {
+	if !r.unread.Pending() {
 		r.selfLease = r.table.Renew(now, r.self, now)
 	}
 }
@@ -131,33 +131,33 @@
 	now := r.clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.unread.Old() || now.Sub(r.lastRun) >= ownership.BrokenOff
+	return r.unread.Pending() || now.Sub(r.lastRun) >= ownership.MinPause
 }
 
 // mayProve reports whether this entry may prove to a holder that it is alive: it has read
 // all messages that arrived while it was paused, and the holder has confirmed all
 // cancellations.
 func (e *Entry) mayProve(to job.EntryID) bool {
-	return !e.rights.mayReadStale() && !e.remote.TakingBack(to)
+	return !e.rights.mayReadStale() && !e.remote.CancelUnconfirmed(to)
 }
 
 // proofFor returns the reading of a holder's clock that proves to the holder that this entry
 // is alive; zero while this entry may not prove it.
-func (e *Entry) proofFor(to job.EntryID, incarnation job.Incarnation) awake.Reading {
+func (e *Entry) proofFor(to job.EntryID, incarnation job.Incarnation) vmclock.Timestamp {
 	if e.rights != nil && !e.mayProve(to) {
 		return 0
 	}
-	return e.members.Last(to, incarnation)
+	return e.members.LastReading(to, incarnation)
 }
 
 // watchOwners renews this entry's right to act for itself, records its pauses, and stops
 // the work of owners whose last proof of life has expired, until ctx ends. Each start
 // checks the owner's right too; this loop ends tasks that are queued or running.
 func (e *Entry) watchOwners(ctx context.Context) error {
-	last := e.awake.Now()
+	last := e.vmClock.Now()
 	e.rights.recordRun(last, 0)
 	return every(ctx, ownerCheckInterval, func(time.Time) {
-		now := e.awake.Now()
+		now := e.vmClock.Now()
 		gap := now.Sub(last)
 		last = now
 		e.recordPause(gap)
@@ -167,7 +167,7 @@
 		}
 		e.rights.recordRun(now, gap)
 		if len(expired) > 0 {
-			e.holder.DropLapsed()
+			e.holder.DropUnauthorized()
 		}
 	})
 }
@@ -176,7 +176,7 @@
 // was abandoned or why an entry did not answer; otherwise only missing log lines would show
 // a pause.
 func (e *Entry) recordPause(gap time.Duration) {
-	if gap < ownership.BrokenOff {
+	if gap < ownership.MinPause {
 		return
 	}
 	cause := fmt.Sprintf("the process did not run for %d ms", gap.Milliseconds())
@@ -187,5 +187,5 @@
 // proof that the owner was alive.
 func (e *Entry) recordOwnerLost(owner job.Owner, age time.Duration) {
 	cause := fmt.Sprintf("no proof of its life %d for %d ms; its transient work here is stopped", owner.Incarnation, age.Milliseconds())
-	e.events.Record(timeline.Event{Kind: timeline.OwnerSilent, Peer: owner.Entry, Took: age, Reason: job.OwnerLost, Cause: cause})
+	e.events.Record(timeline.Event{Kind: timeline.OwnerUnresponsive, Peer: owner.Entry, Took: age, Reason: job.OwnerLost, Cause: cause})
 }
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -22,7 +22,7 @@
 	e.draining.Store(true)
 	e.members.Drain()
 	e.events.Record(timeline.Event{Kind: timeline.EntryDraining})
-	e.log.Info("entry drains", "submissions", e.join.Running())
+	e.log.Info("entry drains", "submissions", e.join.RunningCount())
 	if e.opts.Grace > 0 {
 		last := time.AfterFunc(e.opts.Grace, func() { e.join.StopAll(pipeline.ErrStopping) })
 		defer last.Stop()
@@ -32,7 +32,7 @@
 	e.waitForNotice()
 	e.closeIntake()
 	e.check.Drain()
-	linger := time.NewTimer(e.opts.Linger)
+	linger := time.NewTimer(e.opts.LingerPeriod)
 	defer linger.Stop()
 	e.waitForSubmissions()
 	if err := e.holder.Drain(context.Background()); err != nil {
@@ -50,7 +50,7 @@
 // receive it.
 func (e *Entry) retireVote() {
 	if e.register != nil {
-		e.register.Retire(context.Background())
+		e.register.TransferVote(context.Background())
 	}
 }
 
@@ -58,7 +58,7 @@
 // entry serves submissions in the meantime: refusing them would lose them because of a
 // planned stop.
 func (e *Entry) waitForNotice() {
-	timer := time.NewTimer(e.opts.Notice)
+	timer := time.NewTimer(e.opts.NoticePeriod)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -70,8 +70,8 @@
 // open connections have had time for a last request.
 func (e *Entry) closeIntake() {
 	close(e.intakeClosed)
-	if e.opts.Notice > 0 {
-		time.Sleep(api.LastRequestTime + intakeMargin)
+	if e.opts.NoticePeriod > 0 {
+		time.Sleep(api.LastRequestGrace + intakeMargin)
 	}
 }
 
@@ -84,7 +84,7 @@
 const drainPollInterval = 20 * time.Millisecond
 
 func (e *Entry) waitForSubmissions() {
-	for e.join.Running() > 0 {
+	for e.join.RunningCount() > 0 {
 		time.Sleep(drainPollInterval)
 	}
 }
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -51,7 +51,7 @@
 	mu            sync.Mutex
 	announcements map[job.TargetID]announcement
 	// recentlySent are the targets that were recently sent to a holder, by pool.
-	recentlySent map[string][]assign.Passed
+	recentlySent map[string][]assign.SentTarget
 	// transfers are the held targets to transfer, with their new holders. Targets that
 	// are controlled by one entry at a time are transferred once they are idle.
 	transfers map[job.TargetID]job.EntryID
@@ -133,10 +133,10 @@
 	now := time.Now()
 	if t.announcements[announced.ID].holder != holder {
 		if t.recentlySent == nil {
-			t.recentlySent = map[string][]assign.Passed{}
+			t.recentlySent = map[string][]assign.SentTarget{}
 		}
 		pool := announced.Pool
-		t.recentlySent[pool] = append(assign.Prune(now, t.recentlySent[pool]), assign.Passed{Holder: holder, At: now})
+		t.recentlySent[pool] = append(assign.DropExpired(now, t.recentlySent[pool]), assign.SentTarget{Holder: holder, At: now})
 	}
 	t.announcements[announced.ID] = announcement{announced, holder, now.Add(lease)}
 }
@@ -171,10 +171,10 @@
 	return last.target.Zone, ok
 }
 
-// Leaving announces that a target accepts no more work. It is acknowledged only when each
+// AnnounceStop announces that a target accepts no more work. It is acknowledged only when each
 // entry that may hold the target has been notified: otherwise the target would expect no
 // more work, but receive some until its lease ends.
-func (t *targets) Leaving(ctx context.Context, leaving *job.Target) error {
+func (t *targets) AnnounceStop(ctx context.Context, leaving *job.Target) error {
 	if err := t.validate(leaving); err != nil {
 		return errors.Trace(err)
 	}
@@ -218,14 +218,14 @@
 // removeEnded removes a target whose process has ended and stops new work on it at once.
 func (t *targets) removeEnded(id job.TargetID) {
 	t.forgetTarget(id)
-	t.remove(id, "", t.holder.EndTarget)
+	t.remove(id, "", t.holder.RemoveEndedTarget)
 }
 
 // removeWithdrawn stops new work on a target that has withdrawn. No task becomes suspect
 // because of the target's end.
 func (t *targets) removeWithdrawn(id job.TargetID) {
 	t.forgetTarget(id)
-	t.remove(id, "", t.holder.LeaveTarget)
+	t.remove(id, "", t.holder.RemoveStoppingTarget)
 }
 
 func (t *targets) forgetTarget(id job.TargetID) {
@@ -278,13 +278,13 @@
 	t.changeMu.Lock()
 	defer t.changeMu.Unlock()
 	if t.exclusive {
-		t.registry.Bury(time.Now(), id, address)
+		t.registry.RecordEnded(time.Now(), id, address)
 	}
 	if _, held := t.registry.Withdraw(time.Now(), id); !held {
 		return
 	}
 	removeFromHolder(id)
-	t.events.Record(timeline.Event{Kind: timeline.TargetLeaving, Target: id, Cause: "the target withdrew"})
+	t.events.Record(timeline.Event{Kind: timeline.TargetStopping, Target: id, Cause: "the target withdrew"})
 }
 
 // transferTimeout bounds the transfer of one target to its new holder; the target's
@@ -355,6 +355,6 @@
 		t.mu.Lock()
 		delete(t.transfers, expired.ID)
 		t.mu.Unlock()
-		t.events.Record(timeline.Event{Kind: timeline.TargetLapsed, Target: expired.ID, Cause: "its lease expired without a renewal"})
+		t.events.Record(timeline.Event{Kind: timeline.TargetExpired, Target: expired.ID, Cause: "its lease expired without a renewal"})
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -38,8 +38,8 @@
 	TargetsPerRack int
 	// Target is the template for every stand-in target: slots, sizes, speed.
 	Target standin.Options
-	// Change, if set, may modify the options of each stand-in target.
-	Change func(index int, o *standin.Options)
+	// ModifyTarget, if set, may modify the options of each stand-in target.
+	ModifyTarget func(index int, o *standin.Options)
 	// Scheduler can switch off single scheduling decisions, for measurements.
 	Scheduler scheduler.Options
 	// Events bounds each entry's timeline; see entry.Options.
@@ -49,8 +49,8 @@
 	File []byte
 	// Config, if set, is used instead of File, without a vote.
 	Config config.View
-	// Wires connects every two entries through links that can be partitioned.
-	Wires bool
+	// Partitionable connects every two entries through links that can be partitioned.
+	Partitionable bool
 	// Discover makes the entries discover each other through seeds, as on a
 	// platform that provides only some addresses.
 	Discover bool
@@ -67,7 +67,7 @@
 	opts      Options
 	removeDir bool
 	// Ledger records the task starts at all targets.
-	Ledger  *standin.Ledger
+	Ledger  *standin.StartTracker
 	links   map[linkEnds]*link
 	entries []*member
 	targets []*runningTarget
@@ -116,7 +116,7 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	f := &Fleet{opts: o, Ledger: standin.NewLedger()}
+	f := &Fleet{opts: o, Ledger: standin.NewStartTracker()}
 	if err := f.makeDir(); err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -200,7 +200,7 @@
 			f.entries = append(f.entries, m)
 		}
 	}
-	if f.opts.Wires {
+	if f.opts.Partitionable {
 		if err := f.openLinks(); err != nil {
 			return errors.Trace(err)
 		}
@@ -243,14 +243,14 @@
 
 func (f *Fleet) run(m *member) error {
 	e, err := entry.New(entry.Options{
-		Settings:  f.settings(m),
-		Listeners: m.listen,
-		Log:       f.opts.Log,
-		Scheduler: f.opts.Scheduler,
-		Events:    f.opts.Events,
-		Config:    f.opts.Config,
-		Linger:    linger,
-		LogEvents: f.opts.LogEvents,
+		Settings:     f.settings(m),
+		Listeners:    m.listen,
+		Log:          f.opts.Log,
+		Scheduler:    f.opts.Scheduler,
+		Events:       f.opts.Events,
+		Config:       f.opts.Config,
+		LingerPeriod: linger,
+		LogEvents:    f.opts.LogEvents,
 	})
 	if err != nil {
 		return errors.Trace(err)
@@ -341,10 +341,10 @@
 	o.Zone = zone
 	o.Rack = fmt.Sprintf("%s-r%d", zone, i/max(1, f.opts.TargetsPerRack))
 	o.Entries = f.CallerAddresses(zone)
-	o.Ledger = f.Ledger
+	o.Starts = f.Ledger
 	o.Log = f.opts.Log
-	if f.opts.Change != nil {
-		f.opts.Change(index, &o)
+	if f.opts.ModifyTarget != nil {
+		f.opts.ModifyTarget(index, &o)
 	}
 	t, err := standin.New(o)
 	if err != nil {
--- a/internal/handover/hangup_test.go
+++ b/internal/handover/hangup_test.go
@@ -47,7 +47,7 @@
 func useResettableMesh(s *fixture) *resettable {
 	mesh := &resettable{Node: s.net.Join(ownerID), broken: make(chan struct{})}
 	sinceLastMessage := func(job.EntryID, job.Incarnation) time.Duration { return 100 * time.Millisecond }
-	s.remote = NewRemote(RemoteOptions{Mesh: mesh, Silent: sinceLastMessage})
+	s.remote = NewRemote(RemoteOptions{Mesh: mesh, SinceLastMessage: sinceLastMessage})
 	return mesh
 }
 
@@ -64,11 +64,11 @@
 		b.Transient = true
 		s.offer(context.Background(), b)
 		time.Sleep(100 * time.Millisecond)
-		s.net.CutBoth("owner", "holder", true)
+		s.net.SetPartitioned("owner", "holder", true)
 		mesh.reset()
 		s.remote.Cancel("holder", "a")
 		time.Sleep(50 * time.Millisecond)
-		s.net.CutBoth("owner", "holder", false)
+		s.net.SetPartitioned("owner", "holder", false)
 		time.Sleep(1100 * time.Millisecond)
 		s.holder.mu.Lock()
 		defer s.holder.mu.Unlock()
@@ -89,11 +89,11 @@
 		s.offer(context.Background(), b)
 		time.Sleep(100 * time.Millisecond)
 		s.net.SetDrop(nil)
-		s.net.CutBoth("owner", "holder", true)
+		s.net.SetPartitioned("owner", "holder", true)
 		mesh.reset()
 		s.remote.Cancel("holder", "a")
 		time.Sleep(600 * time.Millisecond)
-		s.net.CutBoth("owner", "holder", false)
+		s.net.SetPartitioned("owner", "holder", false)
 		time.Sleep(time.Second)
 		s.holder.mu.Lock()
 		defer s.holder.mu.Unlock()
--- a/internal/handover/serve.go
+++ b/internal/handover/serve.go
@@ -10,10 +10,10 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/juju/errors"
 
-	"github.com/vanillagrade/vanillagrade/internal/awake"
 	"github.com/vanillagrade/vanillagrade/internal/job"
 	"github.com/vanillagrade/vanillagrade/internal/peer"
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
+	"github.com/vanillagrade/vanillagrade/internal/vmclock"
 )
 
 const (
@@ -110,26 +110,26 @@
 	// Right returns the right to act for an owner, based on the proof in its offer; nil if
 	// the proof is too old. remaining is the time left until the deadline of the work; zero
 	// for none.
-	Right(owner job.Owner, proof awake.Reading, remaining time.Duration) job.Right
+	Right(owner job.Owner, proof vmclock.Timestamp, remaining time.Duration) job.Right
 	// Reading returns a timestamp of this entry's clock, which owners send back as proof.
-	Reading() awake.Reading
+	Reading() vmclock.Timestamp
 }
 
-// NeedRights makes the holder require a right to act for owners of transient work. It must
+// RequireRights makes the holder require a right to act for owners of transient work. It must
 // be called before the links start.
-func (s *Server) NeedRights(r Rights) { s.rights = r }
+func (s *Server) RequireRights(r Rights) { s.rights = r }
 
-// TellLoads makes answers carry the load of the holder's targets. It must be called before
+// ReportLoads makes answers carry the load of the holder's targets. It must be called before
 // the links start.
-func (s *Server) TellLoads(load func(pool string) job.HolderLoad) { s.load = load }
+func (s *Server) ReportLoads(load func(pool string) job.HolderLoad) { s.load = load }
 
 // OnOffer sets a function that is called with the owner of each arriving batch, before
 // the holder receives the batch. OnOffer must be called before the links start.
 func (s *Server) OnOffer(onOffer func(job.Owner)) { s.onOffer = onOffer }
 
-// RecordTo sets the sink for events about received and reported batches. It must be
+// SetEventSink sets the sink for events about received and reported batches. It must be
 // called before the links start.
-func (s *Server) RecordTo(events timeline.Sink) { s.events = events }
+func (s *Server) SetEventSink(events timeline.Sink) { s.events = events }
 
 func (s *Server) handleOffer(ctx context.Context, from job.Owner, body cbor.RawMessage) (any, error) {
 	var o offer
@@ -198,7 +198,7 @@
 // reading returns a timestamp of this entry's clock, which the owner sends back with its
 // next offer. Under load, frequent reports thus keep the proofs recent, and a short link
 // outage does not end a right.
-func (s *Server) reading() awake.Reading {
+func (s *Server) reading() vmclock.Timestamp {
 	if s.rights == nil {
 		return 0
 	}
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -110,7 +110,7 @@
 		}
 		k.open[r.ID] = o
 		k.openBytes += o.bytes
-	case storage.RecordHanded:
+	case storage.RecordDispatched:
 		for _, task := range r.Tasks {
 			if o := k.open[r.ID]; o != nil {
 				o.granted[task] = true
@@ -215,7 +215,7 @@
 	for _, task := range tasks {
 		o.granted[task] = true
 	}
-	return k.appendLog(ctx, storage.Record{Kind: storage.RecordHanded, ID: id, Tasks: tasks})
+	return k.appendLog(ctx, storage.Record{Kind: storage.RecordDispatched, ID: id, Tasks: tasks})
 }
 
 // Finish stores the answer for a caller that asks again. A submission that provably
@@ -285,9 +285,9 @@
 	return f.Answer, f.Digest, ok
 }
 
-// Open returns the kept submissions without an answer for which isGone reports
+// Orphans returns the kept submissions without an answer for which isGone reports
 // that the incarnation of their owner has ended.
-func (k *Keeper) Open(isGone func(job.Owner) bool) []Kept {
+func (k *Keeper) Orphans(isGone func(job.Owner) bool) []Kept {
 	k.mu.Lock()
 	all := make([]*openSubmission, 0, len(k.open))
 	for _, o := range k.open {
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -61,7 +61,7 @@
 	qt.Assert(t, log.Close(), qt.IsNil)
 
 	k, log = openLog(t, dir)
-	open := k.Open(anyOwner)
+	open := k.Orphans(anyOwner)
 	qt.Assert(t, open, qt.HasLen, 1)
 	qt.Assert(t, open[0].Owner, qt.Equals, owner)
 	qt.Assert(t, open[0].Submission.Digest, qt.Equals, forecast().Digest)
@@ -74,7 +74,7 @@
 
 	k, log = openLog(t, dir)
 	defer log.Close()
-	qt.Assert(t, k.Open(anyOwner), qt.HasLen, 0)
+	qt.Assert(t, k.Orphans(anyOwner), qt.HasLen, 0)
 	got, digest, ok := k.Answer("forecast")
 	qt.Assert(t, ok, qt.IsTrue)
 	qt.Assert(t, digest, qt.Equals, forecast().Digest)
@@ -92,7 +92,7 @@
 	qt.Assert(t, log.Close(), qt.IsNil)
 	k, log = openLog(t, dir)
 	defer log.Close()
-	qt.Assert(t, k.Open(anyOwner), qt.HasLen, 0)
+	qt.Assert(t, k.Orphans(anyOwner), qt.HasLen, 0)
 	qt.Assert(t, k.Accept(ctx, owner, forecast()), qt.IsNil)
 }
 
@@ -105,10 +105,10 @@
 		remote := &Remote{Mesh: ownerSide, Entry: keeper.Entry}
 		qt.Assert(t, remote.Accept(t.Context(), owner, forecast()), qt.IsNil)
 		qt.Assert(t, remote.Grant(t.Context(), "forecast", []int{0}), qt.IsNil)
-		net.CutBoth("a1", "b1", true)
+		net.SetPartitioned("a1", "b1", true)
 		qt.Assert(t, errors.Is(remote.Grant(t.Context(), "forecast", []int{1}), ErrNotKept), qt.IsTrue)
 		qt.Assert(t, k.Grant(t.Context(), "forecast", []int{1}), qt.IsNil)
-		net.CutBoth("a1", "b1", false)
+		net.SetPartitioned("a1", "b1", false)
 		qt.Assert(t, errors.Is(remote.Grant(t.Context(), "forecast", []int{1}), ErrGranted), qt.IsTrue)
 		qt.Assert(t, remote.Grant(t.Context(), "forecast", []int{2}), qt.IsNil)
 		qt.Assert(t, errors.Is(k.Grant(t.Context(), "forecast", []int{2}), ErrGranted), qt.IsTrue)
@@ -121,12 +121,12 @@
 func TestLostAcceptanceIsUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net, k, ownerSide := newNetwork(t)
-		net.Cut("b1", "a1", true)
+		net.SetBlocked("b1", "a1", true)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		err := (&Remote{Mesh: ownerSide, Entry: keeper.Entry}).Accept(ctx, owner, forecast())
 		qt.Assert(t, errors.Is(err, ErrUncertain), qt.IsTrue)
-		qt.Assert(t, k.Open(anyOwner), qt.HasLen, 1)
+		qt.Assert(t, k.Orphans(anyOwner), qt.HasLen, 1)
 		time.Sleep(time.Second)
 	})
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -110,7 +110,7 @@
 // corrupt each complete answer before it is sent.
 type fakeEntry struct {
 	alter func(a *api.CompleteAnswer)
-	other *api.OtherAnswer
+	other *api.IncompleteAnswer
 	// hold, if set, delays all answers until this many jobs have arrived.
 	hold int
 
@@ -199,7 +199,7 @@
 	report, err := Run(t.Context(), spec, Options{Entries: []string{address}, Targets: []string{address}, Operators: []string{address}})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, report.Total.Complete, qt.Equals, jobs)
-	qt.Assert(t, report.Checks.Good(), qt.IsTrue)
+	qt.Assert(t, report.Checks.Passed(), qt.IsTrue)
 	qt.Assert(t, report.Checks.TargetsCounted, qt.IsTrue)
 	qt.Assert(t, report.Checks.Starts, qt.Equals, uint64(report.Checks.Tasks))
 	qt.Assert(t, report.Messages.Useful, qt.Equals, int64(10))
@@ -218,7 +218,7 @@
 // tool must detect each case, or it would report a wrong answer as a good and
 // fast one.
 func TestRunDetectsWrongAnswers(t *testing.T) {
-	count := func(c Checks) []int { return []int{c.Crossed, c.Partial, c.Unreadable} }
+	count := func(c Checks) []int { return []int{c.Misdelivered, c.Partial, c.Unreadable} }
 	for name, test := range map[string]struct {
 		change func(*api.CompleteAnswer)
 		want   []int
@@ -248,13 +248,13 @@
 func TestRunDetectsFalseNotRun(t *testing.T) {
 	spec := smallSpec(t)
 	spec.Streams = spec.Streams[:1]
-	entry := &fakeEntry{other: &api.OtherAnswer{Outcome: job.Refused, Run: job.NotRun().String(), Reason: job.Overloaded}}
+	entry := &fakeEntry{other: &api.IncompleteAnswer{Outcome: job.Refused, Run: job.NotRun().String(), Reason: job.Overloaded}}
 	address := entry.serve(t)
 	report, err := Run(t.Context(), spec, Options{Entries: []string{address}, Targets: []string{address}})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, report.Checks.UnexplainedStarts, qt.Equals, int64(report.Checks.Tasks))
 	qt.Assert(t, report.Total.Refused, qt.DeepEquals, map[string]int{"overloaded": report.Total.Jobs})
-	qt.Assert(t, report.Checks.Good(), qt.IsFalse)
+	qt.Assert(t, report.Checks.Passed(), qt.IsFalse)
 }
 
 func TestRunStaysOnLoopback(t *testing.T) {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -54,13 +54,13 @@
 
 func (f *fleet) kill(id job.EntryID) {
 	f.stop[id]()
-	f.net.Leave(id)
+	f.net.Crash(id)
 }
 
 func (f *fleet) end() {
 	for id := range f.members {
 		f.stop[id]()
-		f.net.Leave(id)
+		f.net.Crash(id)
 	}
 	f.pass(time.Second)
 }
@@ -124,14 +124,14 @@
 			id := job.TargetID(fmt.Sprint("t", i))
 			before[id] = f.members["c"].Holder(id)
 		}
-		f.net.CutBoth("a", "b", true)
+		f.net.SetPartitioned("a", "b", true)
 		f.pass(20 * time.Second)
 		qt.Assert(t, f.state("a", "b"), qt.Equals, "suspect")
 		qt.Assert(t, f.views("b", "c", "d"), qt.Equals, "alive alive ")
 		for id, holder := range before {
 			qt.Assert(t, f.members["a"].Holder(id), qt.Equals, holder)
 		}
-		f.net.CutBoth("a", "b", false)
+		f.net.SetPartitioned("a", "b", false)
 		f.pass(time.Second)
 		qt.Assert(t, f.state("a", "b"), qt.Equals, "alive")
 	})
@@ -143,14 +143,14 @@
 func TestPartitionedEntryIsIsolatedAndRejoins(t *testing.T) {
 	run(t, func(f *fleet) {
 		for _, other := range []job.EntryID{"b", "c", "d"} {
-			f.net.CutBoth("a", other, true)
+			f.net.SetPartitioned("a", other, true)
 		}
 		f.pass(time.Minute)
 		qt.Assert(t, f.members["a"].View().Isolated, qt.IsTrue)
 		qt.Assert(t, f.members["b"].View().Isolated, qt.IsFalse)
 		qt.Assert(t, f.views("a", "b", "c", "d"), qt.Equals, "dead dead dead ")
 		for _, other := range []job.EntryID{"b", "c", "d"} {
-			f.net.CutBoth("a", other, false)
+			f.net.SetPartitioned("a", other, false)
 		}
 		f.pass(1300 * time.Millisecond)
 		qt.Assert(t, f.members["a"].View().Isolated, qt.IsFalse)
@@ -165,7 +165,7 @@
 func TestOnlyEntryOfZoneIsNotIsolated(t *testing.T) {
 	run(t, func(f *fleet) {
 		for _, other := range []job.EntryID{"a", "b", "c"} {
-			f.net.CutBoth("d", other, true)
+			f.net.SetPartitioned("d", other, true)
 		}
 		f.pass(time.Minute)
 		qt.Assert(t, f.views("d", "a", "b", "c"), qt.Equals, "dead dead dead ")
@@ -204,33 +204,33 @@
 	d := NewDetector(now, job.Owner{Entry: "a", Incarnation: 1, Zone: "z"}, []Peer{{Entry: "b", Zone: "z"}, {Entry: "c", Zone: "z"}})
 	owner := func(n job.Incarnation) job.Owner { return job.Owner{Entry: "b", Incarnation: n, Zone: "z"} }
 	other := job.Owner{Entry: "c", Zone: "z", Incarnation: 1}
-	d.Hear(now, owner(5), Alive, 0)
-	qt.Assert(t, d.Hear(now, owner(4), Alive, 0).Changes, qt.HasLen, 0)
+	d.ApplyHeartbeat(now, owner(5), Alive, 0)
+	qt.Assert(t, d.ApplyHeartbeat(now, owner(4), Alive, 0).Changes, qt.HasLen, 0)
 	qt.Assert(t, d.Vouch(now, "c", owner(4)), qt.HasLen, 0)
-	qt.Assert(t, d.Hear(now, other, Alive, 0).Changes, qt.HasLen, 1)
+	qt.Assert(t, d.ApplyHeartbeat(now, other, Alive, 0).Changes, qt.HasLen, 1)
 	for range 40 { // three of four heartbeats are lost
 		now = now.Add(InZone.SuspectAfter)
-		qt.Assert(t, d.Hear(now, owner(5), Alive, 0).Changes, qt.HasLen, 0)
-		d.Hear(now, other, Alive, 0)
+		qt.Assert(t, d.ApplyHeartbeat(now, owner(5), Alive, 0).Changes, qt.HasLen, 0)
+		d.ApplyHeartbeat(now, other, Alive, 0)
 		qt.Assert(t, d.Tick(now, nobody), qt.HasLen, 0)
 	}
 	now = now.Add(refusedAfter + 1)
 	refusedB := func(id job.EntryID) bool { return id == "b" }
 	// A proxy on the path may refuse connections while the entry runs: entries that hear it
 	// decide.
-	qt.Assert(t, d.Doubtful(now, refusedB), qt.HasLen, 1)
+	qt.Assert(t, d.QuerySubjects(now, refusedB), qt.HasLen, 1)
 	qt.Assert(t, d.Tick(now, refusedB), qt.HasLen, 0)
 	d.Vouch(now, "c", owner(5))
-	d.Asked(now, "b")
+	d.RecordQuery(now, "b")
 	qt.Assert(t, d.Tick(now, refusedB), qt.HasLen, 0)
 	now = now.Add(vouchValidity + 1)
-	d.Hear(now, other, Alive, 0)
-	d.Asked(now, "b")
+	d.ApplyHeartbeat(now, other, Alive, 0)
+	d.RecordQuery(now, "b")
 	changes := slices.DeleteFunc(d.Tick(now, refusedB), func(c Change) bool { return c.After.State == Suspect })
 	qt.Assert(t, changes, qt.HasLen, 1)
 	qt.Assert(t, changes[0].After.State, qt.Equals, Dead)
-	d.Hear(now, owner(5), Left, 0)
-	d.Hear(now, owner(5), Alive, 0)
+	d.ApplyHeartbeat(now, owner(5), Left, 0)
+	d.ApplyHeartbeat(now, owner(5), Alive, 0)
 	m, _ := d.Members(nobody).Get("b")
 	qt.Assert(t, m.State, qt.Equals, Left)
 }
--- a/internal/membership/pace_test.go
+++ b/internal/membership/pace_test.go
@@ -40,7 +40,7 @@
 // shares work which are less frequent than its right to act requires.
 func TestHeartbeatsOfALargeFleetAreBounded(t *testing.T) {
 	const seconds, limit = 30, 30 // heartbeats a second, two busy entries included
-	for _, others := range []int{watch.Everybody + 1, 151, 300, 999} {
+	for _, others := range []int{watch.WatchAllMax + 1, 151, 300, 999} {
 		now := time.Now()
 		m := newAmongOthers(others, "e-007", "e-013")
 		last := map[job.EntryID]time.Time{}
@@ -66,9 +66,9 @@
 // added.
 func TestSmallFleetsKeepTheFullPace(t *testing.T) {
 	now := time.Now()
-	m := newAmongOthers(watch.Everybody)
+	m := newAmongOthers(watch.WatchAllMax)
 	for range 8 {
-		qt.Assert(t, heartbeatsDue(m, now), qt.HasLen, watch.Everybody)
+		qt.Assert(t, heartbeatsDue(m, now), qt.HasLen, watch.WatchAllMax)
 		now = now.Add(InZone.Period)
 	}
 	for _, p := range m.detector.peers {
@@ -91,7 +91,7 @@
 			sent[d.to]++
 		}
 		for _, e := range append(disks, "e-020") {
-			m.detector.Hear(now, job.Owner{Entry: e, Incarnation: 1}, Alive, 0)
+			m.detector.ApplyHeartbeat(now, job.Owner{Entry: e, Incarnation: 1}, Alive, 0)
 		}
 	}
 	for _, e := range disks {
@@ -116,10 +116,10 @@
 	m.Touch(owner)
 	qt.Assert(t, m.Silent(owner.Entry, owner.Incarnation) < time.Second, qt.IsTrue)
 
-	m.detector.Hear(time.Now(), owner, Draining, 1)
+	m.detector.ApplyHeartbeat(time.Now(), owner, Draining, 1)
 	m.Touch(owner)
 	qt.Assert(t, m.detector.peer(owner.Entry).State, qt.Equals, Draining)
-	m.detector.Hear(time.Now(), owner, Left, 2)
+	m.detector.ApplyHeartbeat(time.Now(), owner, Left, 2)
 	m.Touch(owner)
 	qt.Assert(t, m.detector.peer(owner.Entry).State, qt.Equals, Left)
 }
--- a/internal/membership/proof.go
+++ b/internal/membership/proof.go
@@ -5,9 +5,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"github.com/vanillagrade/vanillagrade/internal/awake"
 	"github.com/vanillagrade/vanillagrade/internal/job"
 	"github.com/vanillagrade/vanillagrade/internal/peer"
+	"github.com/vanillagrade/vanillagrade/internal/vmclock"
 )
 
 // A heartbeat proves that its sender was alive when it was sent, not when it is read: it may
@@ -23,51 +23,52 @@
 	Beat cbor.RawMessage
 	// Reading is of the sender's clock. Echo is the last reading of the receiver's clock that
 	// the sender has; it was made by the receiver's incarnation Life.
-	Reading awake.Reading
+	Reading vmclock.Timestamp
 	Life    job.Incarnation
-	Echo    awake.Reading
+	Echo    vmclock.Timestamp
 }
 
 // clockReading is the last reading received of an entry's clock.
 type clockReading struct {
 	incarnation job.Incarnation
-	at          awake.Reading
+	at          vmclock.Timestamp
 }
 
 // stamp adds the clock readings for one receiver to a heartbeat.
 func (m *Membership) stamp(to job.EntryID, body cbor.RawMessage) stampedHeartbeat {
 	now := m.opts.Now()
-	mayProve := m.opts.Speaks == nil || m.opts.Speaks(to)
+	mayProve := m.opts.MayProve == nil || m.opts.MayProve(to)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	last := m.readings[to]
 	if !mayProve {
 		last = clockReading{}
 	}
-	return stampedHeartbeat{Beat: body, Reading: m.ruler.Reading(now), Life: last.incarnation, Echo: last.at}
+	return stampedHeartbeat{Beat: body, Reading: m.timestamps.Encode(now), Life: last.incarnation, Echo: last.at}
 }
 
 // recordReading records another entry's clock reading if it is the latest. The caller holds
 // the lock.
-func (m *Membership) recordReading(from job.EntryID, incarnation job.Incarnation, at awake.Reading) {
+func (m *Membership) recordReading(from job.EntryID, incarnation job.Incarnation, at vmclock.Timestamp) {
 	last := m.readings[from]
 	if incarnation > last.incarnation || incarnation == last.incarnation && at > last.at {
 		m.readings[from] = clockReading{incarnation, at}
 	}
 }
 
-// Learn records a clock reading that arrived in a message other than a heartbeat.
-func (m *Membership) Learn(from job.EntryID, incarnation job.Incarnation, at awake.Reading) {
+// RecordReading records a clock reading that arrived in a message other than a heartbeat.
+func (m *Membership) RecordReading(from job.EntryID, incarnation job.Incarnation, at vmclock.Timestamp) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.recordReading(from, incarnation, at)
 }
 
 // Reading returns a reading of this entry's clock, which other entries echo.
-func (m *Membership) Reading() awake.Reading { return m.ruler.Reading(m.opts.Now()) }
+func (m *Membership) Reading() vmclock.Timestamp { return m.timestamps.Encode(m.opts.Now()) }
 
-// Last returns the last clock reading received from an incarnation, or zero if there is none.
-func (m *Membership) Last(of job.EntryID, incarnation job.Incarnation) awake.Reading {
+// LastReading returns the last clock reading received from an incarnation, or zero if there is
+// none.
+func (m *Membership) LastReading(of job.EntryID, incarnation job.Incarnation) vmclock.Timestamp {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if last := m.readings[of]; last.incarnation == incarnation {
@@ -78,17 +79,17 @@
 
 // Proof returns the time of an echoed reading by the clock of Options.Now. It reports false
 // for a reading that this incarnation didn't make.
-func (m *Membership) Proof(incarnation job.Incarnation, at awake.Reading) (time.Time, bool) {
+func (m *Membership) Proof(incarnation job.Incarnation, at vmclock.Timestamp) (time.Time, bool) {
 	if at == 0 || incarnation != m.opts.Mesh.Self().Incarnation {
 		return time.Time{}, false
 	}
-	return m.ruler.Time(at), true
+	return m.timestamps.Decode(at), true
 }
 
-// Greet sends a heartbeat to an entry whose link has just come up. The right of either entry
+// SendHeartbeat sends a heartbeat to an entry whose link has just come up. The right of either entry
 // to act for the other depends on proofs that age while the link is down, and the next
 // regular heartbeat may be a whole period away.
-func (m *Membership) Greet(to job.EntryID) {
+func (m *Membership) SendHeartbeat(to job.EntryID) {
 	b := m.composeHeartbeat()
 	b.Relayed = nil
 	body, err := cbor.Marshal(b)
@@ -96,6 +97,6 @@
 		m.opts.Log.Error("heartbeat not encoded", "error", err)
 		return
 	}
-	// The link may be down again; Greet is then called for the next one.
+	// The link may be down again; SendHeartbeat is then called for the next one.
 	_ = m.opts.Mesh.Send(to, peer.Heartbeat, m.stamp(to, body))
 }
--- a/internal/pipeline/run.go
+++ b/internal/pipeline/run.go
@@ -59,7 +59,7 @@
 	Holders Holders
 	Events  timeline.Sink
 	// Crashes tracks the tasks whose targets ended while running them; nil disables this.
-	Crashes *crash.Book
+	Crashes *crash.Tracker
 }
 
 // flight is a submission whose tasks are placed on holders.
@@ -104,7 +104,7 @@
 	}
 	var out []int
 	for i := range fl.flow.Submission.Tasks {
-		if fl.stage.Crashes.Verdict(fl.task(i)).GiveUp {
+		if fl.stage.Crashes.Decide(fl.task(i)).Abandon {
 			out = append(out, i)
 		}
 	}
@@ -122,7 +122,7 @@
 	}
 	now := time.Now()
 	for i := range outcomes {
-		fl.stage.Crashes.Learn(now, fl.task(outcomes[i].Index), outcomes[i].Crashed)
+		fl.stage.Crashes.Merge(now, fl.task(outcomes[i].Index), outcomes[i].Crashed)
 	}
 }
 
@@ -177,7 +177,7 @@
 		fl.report("", nil)
 		return
 	}
-	if !job.Holds(fl.flow.Right) {
+	if !job.RightValid(fl.flow.Right) {
 		fl.stop(job.Failed, job.Paused, pausedDetail)
 		return
 	}
@@ -256,7 +256,7 @@
 		outcomes[i].Index = task
 	}
 	fl.mu.Lock()
-	v := fl.collector.GiveUp(outcomes)
+	v := fl.collector.Abandon(outcomes)
 	fl.mu.Unlock()
 	fl.act(v)
 }
@@ -333,7 +333,7 @@
 	for i, task := range p.Tasks {
 		b.Tasks[i] = job.BatchTask{Index: task, TaskSpec: s.Tasks[task]}
 		if fl.stage.Crashes != nil {
-			b.Tasks[i].Crashed = fl.stage.Crashes.Verdict(fl.task(task)).Sure
+			b.Tasks[i].Crashed = fl.stage.Crashes.Decide(fl.task(task)).Counted
 		}
 	}
 	fl.stage.Events.Record(timeline.Event{Kind: timeline.BatchOffered, Submission: s.ID, Peer: p.Holder, Count: len(p.Tasks), Took: b.Waited})
@@ -351,7 +351,7 @@
 	fl.act(v)
 }
 
-func (fl *flight) act(v Verdict) {
+func (fl *flight) act(v Decision) {
 	if v.Finished {
 		fl.finish(v.Answer)
 		return
@@ -402,7 +402,7 @@
 	fl.mu.Unlock()
 	time.AfterFunc(withdrawTimeout, func() {
 		fl.mu.Lock()
-		v := fl.collector.Conclude()
+		v := fl.collector.ForceFinish()
 		fl.mu.Unlock()
 		fl.act(v)
 	})
--- a/internal/register/fleet_test.go
+++ b/internal/register/fleet_test.go
@@ -29,8 +29,8 @@
 	mu          sync.Mutex
 	nodes       map[job.EntryID]*member
 	incarnation job.Incarnation
-	// mend, when set, enables the repair of the voter set.
-	mend *Mend
+	// repair, when set, enables the repair of the voter set.
+	repair *RepairOptions
 	// events, when set, receives the events of all entries.
 	events timeline.Sink
 	// wrap, when set, wraps the mesh of each entry that starts.
@@ -85,7 +85,7 @@
 		jump := rand.New(rand.NewPCG(incarnation, uint64(now.UnixNano()))).Int64N(int64(48 * time.Hour))
 		return now.Add(time.Duration(jump) - 24*time.Hour)
 	}
-	opts := Options{Mesh: mesh, Voters: f.voters, Entries: f.entries, Clock: clock, Mend: f.mend, Events: f.events}
+	opts := Options{Mesh: mesh, Voters: f.voters, Entries: f.entries, Clock: clock, Repair: f.repair, Events: f.events}
 	if fs != nil {
 		store, err := storage.Open("data", fs)
 		qt.Assert(f.t, err, qt.IsNil)
@@ -109,7 +109,7 @@
 	if m.fs != nil {
 		m.fs.CrashAt(1)
 	}
-	f.net.Leave(e)
+	f.net.Crash(e)
 	m.stop()
 	<-m.done
 	f.mu.Lock()
@@ -123,7 +123,7 @@
 
 func (f *fleet) stopAll() {
 	for e, m := range f.nodes {
-		f.net.Leave(e)
+		f.net.Crash(e)
 		m.stop()
 		<-m.done
 	}
@@ -141,7 +141,7 @@
 	for _, a := range f.entries {
 		for _, b := range f.entries {
 			if in[a] && !in[b] {
-				f.net.CutBoth(a, b, down)
+				f.net.SetPartitioned(a, b, down)
 			}
 		}
 	}
--- a/internal/register/powerloss_test.go
+++ b/internal/register/powerloss_test.go
@@ -55,8 +55,8 @@
 	}
 	f.enableRepair(2*tolerate + 1)
 	f.voters = d.founders
-	inner := f.mend.Disks
-	f.mend.Disks = func() []voters.Disk {
+	inner := f.repair.Disks
+	f.repair.Disks = func() []voters.Disk {
 		return slices.DeleteFunc(inner(), func(x voters.Disk) bool { return !hasDisk(x.Entry) })
 	}
 	for _, e := range f.entries {
@@ -251,10 +251,10 @@
 		gone := d.victims(1, "")[0]
 		at := d.acknowledge()
 		d.removed[gone] = d.crash(gone, storagetest.KeepNone)
-		time.Sleep(voters.AwayTime - time.Second + time.Duration(d.r.IntN(2500))*time.Millisecond)
+		time.Sleep(voters.ReplaceDelay - time.Second + time.Duration(d.r.IntN(2500))*time.Millisecond)
 		d.losePower(d.victims(d.tolerate-1, at))
 		d.assertServes()
-		time.Sleep(voters.AwayTime + recoveryTime)
+		time.Sleep(voters.ReplaceDelay + recoveryTime)
 		qt.Assert(d.t, slices.Contains(d.voterNames(), gone), qt.IsFalse)
 		at = d.acknowledge()
 		d.losePower(d.victims(d.tolerate, at))
--- a/internal/register/repair_test.go
+++ b/internal/register/repair_test.go
@@ -23,7 +23,7 @@
 func (f *fleet) enableRepair(want int) {
 	since := map[job.EntryID]time.Time{}
 	alive := map[job.EntryID]bool{}
-	f.mend = &Mend{Want: want, Disks: func() []voters.Disk {
+	f.repair = &RepairOptions{Want: want, Disks: func() []voters.Disk {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		var out []voters.Disk
@@ -191,7 +191,7 @@
 		time.Sleep(3 * time.Second)
 		f.mustApply("v1", 1)
 		disk := f.crash("v3", storagetest.KeepAll)
-		time.Sleep(voters.AwayTime + 3*time.Second)
+		time.Sleep(voters.ReplaceDelay + 3*time.Second)
 		state := f.nodes["v1"].State()
 		qt.Assert(t, slices.Contains(state.VoterEntries(), "v4"), qt.IsTrue)
 		qt.Assert(t, slices.Contains(state.VoterEntries(), "v3"), qt.IsFalse)
--- a/internal/replay/overload_test.go
+++ b/internal/replay/overload_test.go
@@ -73,7 +73,7 @@
 func TestSmallJobsStayWhole(t *testing.T) {
 	with := mean(t, "whole", defaultSite(), steadyLoad(2.5))
 	s := defaultSite()
-	s.costs.Whole = 0
+	s.costs.WholeJobShare = 0
 	without := mean(t, "split", s, steadyLoad(2.5))
 	qt.Check(t, with.credit > without.credit+0.03, qt.IsTrue)
 	qt.Check(t, 5*with.uncertain < without.uncertain, qt.IsTrue)
@@ -87,7 +87,7 @@
 func TestPatienceBalancesKinds(t *testing.T) {
 	with := mean(t, "evened", defaultSite(), steadyLoad(2.5))
 	s := defaultSite()
-	s.opts.NoPatience = true
+	s.opts.NoWaitLimit = true
 	without := mean(t, "all of the slack", s, steadyLoad(2.5))
 	qt.Check(t, with.kinds["check"] > without.kinds["check"]+0.05, qt.IsTrue)
 	qt.Check(t, with.credit > without.credit, qt.IsTrue)
--- a/internal/runs/pace.go
+++ b/internal/runs/pace.go
@@ -13,7 +13,7 @@
 	if r.expected <= 0 || r.paceTimer != nil || s.runs[ref] != r {
 		return
 	}
-	r.paceTimer = time.AfterFunc(pace.FirstLook(r.expected), func() { s.checkPace(ref, r) })
+	r.paceTimer = time.AfterFunc(pace.FirstPoll(r.expected), func() { s.checkPace(ref, r) })
 }
 
 // checkPace asks the target for the progress of an overdue run, and stops the run if it would
@@ -24,10 +24,10 @@
 		s.mu.Unlock()
 		return
 	}
-	o := RenewOrder{Epoch: s.epoch, Acked: s.lastAckedEnd}
+	o := PollRequest{Epoch: s.epoch, Acked: s.lastAckedEnd}
 	s.mu.Unlock()
 	p := s.promptPolicy()
-	got, err := firstAnswer(s.ctx, p, func(ctx context.Context) (Look, error) { return s.sendPoll(ctx, o, p.timeout) })
+	got, err := firstAnswer(s.ctx, p, func(ctx context.Context) (PollReply, error) { return s.sendPoll(ctx, o, p.timeout) })
 	if err != nil || got.value.Refusal != Accepted {
 		s.rescheduleCheck(ref, r)
 		return // the poll loop handles failures of the target
@@ -45,7 +45,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.runs[ref] == r {
-		r.paceTimer.Reset(pace.NextLook(r.expected))
+		r.paceTimer.Reset(pace.NextPoll(r.expected))
 	}
 }
 
@@ -57,7 +57,7 @@
 	}
 	elapsed := time.Since(r.confirmedAt)
 	if !pace.Move(r.expected, elapsed, percent) {
-		r.paceTimer.Reset(pace.NextLook(r.expected))
+		r.paceTimer.Reset(pace.NextPoll(r.expected))
 		s.mu.Unlock()
 		return
 	}
--- a/internal/scheduler/objective_test.go
+++ b/internal/scheduler/objective_test.go
@@ -89,7 +89,7 @@
 }
 
 // credit is the mean value of the answers to a group's callers: 1 for an answer within
-// the objective, 0.2 for one within job.UsefulFor times the objective, 0 otherwise.
+// the objective, 0.2 for one within job.UsefulFactor times the objective, 0 otherwise.
 func credit(s *sim, group string) float64 {
 	sum, n := 0.0, 0
 	for _, a := range s.answers {
@@ -102,7 +102,7 @@
 		case a.outcome != job.Complete:
 		case a.after <= within:
 			sum++
-		case a.after <= job.UsefulFor*within:
+		case a.after <= job.UsefulFactor*within:
 			sum += 0.2
 		}
 	}
@@ -266,7 +266,7 @@
 		}
 		return b
 	}
-	play := func(opts Options) Verdict {
+	play := func(opts Options) Admission {
 		p := NewWith("render", 1, opts)
 		p.Configure(epoch, testFile())
 		p.SetTarget(epoch, job.Target{ID: "w", Slots: 2, Connections: 64})
@@ -278,5 +278,5 @@
 	qt.Assert(t, v.Accepted, qt.IsFalse)
 	qt.Assert(t, v.Reason, qt.Equals, job.Overloaded)
 	qt.Assert(t, v.RetryAfter > 4*time.Second, qt.IsTrue, qt.Commentf("%v", v.RetryAfter))
-	qt.Assert(t, play(Options{NoExpectedEnds: true}).Accepted, qt.IsTrue)
+	qt.Assert(t, play(Options{NoEndEstimates: true}).Accepted, qt.IsTrue)
 }
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -11,9 +11,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/policy/estimate"
 	"github.com/vanillagrade/vanillagrade/internal/policy/fairqueue"
 	"github.com/vanillagrade/vanillagrade/internal/policy/health"
-	"github.com/vanillagrade/vanillagrade/internal/policy/patience"
 	"github.com/vanillagrade/vanillagrade/internal/policy/pq"
 	"github.com/vanillagrade/vanillagrade/internal/policy/reserve"
+	"github.com/vanillagrade/vanillagrade/internal/policy/waitlimit"
 )
 
 const classes = int(job.UrgencyUrgent) + 1
@@ -94,7 +94,7 @@
 	opts         Options
 	rand         *rand.Rand
 	file         *config.File
-	estimates    *estimate.Book
+	estimates    *estimate.Estimator
 	fleet        *health.Fleet
 	shortReserve *reserve.Reserve
 
@@ -114,7 +114,7 @@
 	freeCapacity int
 	freeSlots    int
 	meanSize     sizeMean
-	patience     patience.Book
+	waitLimit    waitlimit.Tracker
 	freeTimes    slotHeap
 	meanSlack    float64 // of jobs with an objective, in seconds
 	running      int
@@ -170,7 +170,7 @@
 func (p *Pool) Configure(now time.Time, f *config.File) {
 	p.file = f
 	p.setWeights(f)
-	p.patience.Forget(func(service string) bool { _, known := f.Service(service); return !known })
+	p.waitLimit.Forget(func(service string) bool { _, known := f.Service(service); return !known })
 	clear(p.unplaceable)
 	for _, id := range slices.Sorted(maps.Keys(p.targets)) {
 		t := p.targets[id]
@@ -232,7 +232,7 @@
 	c := &p.classes[b.class]
 	c.running += slots
 	for _, q := range c.lanes {
-		q.Hold(b.team, float64(slots))
+		q.AddHeldSlots(b.team, float64(slots))
 	}
 	if b.long {
 		c.longRunning += slots
--- a/internal/awake/awake.go
+++ b/internal/vmclock/vmclock.go
@@ -1,11 +1,11 @@
-// Package awake provides a clock that also counts the time for which the VM was suspended.
+// Package vmclock provides a clock that also counts the time for which the VM was suspended.
 //
 // A VM is paused when it is migrated, saved or starved of its processor, and resumes without
 // notice. Depending on how the VM was paused, the monotonic clock goes on meanwhile or stops
 // too, so a decision based on it alone may rely on a state that is seconds old. Timers fire
 // late, and in any order relative to messages that arrived meanwhile. Code that depends on
 // the elapsed time therefore reads this clock at the moment of its decision.
-package awake
+package vmclock
 
 import (
 	"time"
@@ -29,19 +29,19 @@
 	return now.Add(c.Suspended())
 }
 
-// Reading is a timestamp in nanoseconds that a process sends to another one and gets back.
+// Timestamp is a time in nanoseconds that a process sends to another one and gets back.
 // It is meaningful only to the incarnation of the process that created it.
-type Reading int64
+type Timestamp int64
 
-// Ruler converts times of a clock to Readings and back.
-type Ruler struct{ zero time.Time }
+// TimestampCodec converts times of a clock to Timestamps and back.
+type TimestampCodec struct{ zero time.Time }
 
-// NewRuler returns a Ruler whose Readings start at 1 for the time zero; a Reading of 0 means
+// NewTimestampCodec returns a TimestampCodec that gives Timestamp 1 to the time zero; 0 means
 // none.
-func NewRuler(zero time.Time) Ruler { return Ruler{zero} }
+func NewTimestampCodec(zero time.Time) TimestampCodec { return TimestampCodec{zero} }
 
-// Reading converts a time to a Reading.
-func (r Ruler) Reading(at time.Time) Reading { return Reading(max(at.Sub(r.zero), 0)) + 1 }
+// Encode converts a time to a Timestamp.
+func (r TimestampCodec) Encode(at time.Time) Timestamp { return Timestamp(max(at.Sub(r.zero), 0)) + 1 }
 
-// Time converts a Reading back to its time.
-func (r Ruler) Time(x Reading) time.Time { return r.zero.Add(time.Duration(x - 1)) }
+// Decode converts a Timestamp back to its time.
+func (r TimestampCodec) Decode(x Timestamp) time.Time { return r.zero.Add(time.Duration(x - 1)) }
