--- a/internal/policy/crash/crash.go
+++ b/internal/policy/crash/crash.go
@@ -41,8 +41,8 @@
 	massMinShare   = 0.3
 	// unstablePeriod is how long a place counts as unstable, that is, as one whose
 	// targets end by themselves, after a target has ended there. maxUnstableShare is the
-	// share of the places held up to which this applies: where more places lose targets,
-	// tasks are the likelier cause.
+	// largest number of such places, as a share of the targets held, up to which this
+	// applies: if more places lose targets, tasks are the likelier cause.
 	unstablePeriod   = 30 * time.Second
 	maxUnstableShare = 0.25
 	// retention is how long a record is kept after its last loss: callers resubmit a job
--- a/internal/policy/estimate/estimate.go
+++ b/internal/policy/estimate/estimate.go
@@ -270,8 +270,9 @@
 }
 
 const (
-	// A task is long if it runs for more than longFactor times the longQuantile of the
-	// run times of its pool.
+	// longFactor and longQuantile define a long task: it runs for more than longFactor
+	// times the longQuantile quantile of the run times of its pool, which is the median of
+	// their shorter half.
 	longFactor   = 4
 	longQuantile = 0.25
 	// thresholdRefresh is the number of tasks after which the threshold is recomputed.
--- a/internal/policy/health/health.go
+++ b/internal/policy/health/health.go
@@ -48,7 +48,8 @@
 
 	slowBackoff    = 2 * time.Second
 	maxSlowBackoff = time.Minute
-	// goodProbeInterval is the delay between probes while they succeed.
+	// goodProbeInterval is the delay between the probes of a slow target while they run
+	// at normal speed.
 	goodProbeInterval = 100 * time.Millisecond
 )
 
--- a/internal/policy/inventory/inventory.go
+++ b/internal/policy/inventory/inventory.go
@@ -35,7 +35,7 @@
 }
 
 // Table holds the latest reports of all entries. The zero value is empty. The caller must
-// provide locking.
+// hold a lock.
 type Table struct {
 	held    map[job.EntryID]Report
 	holders map[job.TargetID]job.EntryID
@@ -50,7 +50,7 @@
 	return b
 }
 
-// All returns what each entry holds. The caller must not modify it.
+// All returns the report of each entry. The caller must not modify it.
 func (b *Table) All() map[job.EntryID]Report { return b.held }
 
 // Apply applies an entry's report and reports whether it changed the entry's list of
@@ -127,8 +127,8 @@
 // HolderOf returns the entry that is remembered to hold a target; empty for none.
 func (b *Table) HolderOf(id job.TargetID) job.EntryID { return b.holders[id] }
 
-// Keep removes the entries that are permanently gone, so that VMs that are replaced every
-// day don't fill the memory, and reports whether there were any.
+// Keep removes all entries except the known ones, so that VMs that are replaced every day
+// don't fill the memory, and reports whether it removed any.
 func (b *Table) Keep(known func(job.EntryID) bool) (changed bool) {
 	for entry, h := range b.held {
 		if known(entry) {
--- a/internal/policy/ownership/backlog.go
+++ b/internal/policy/ownership/backlog.go
@@ -4,8 +4,8 @@
 
 const (
 	// LongPauseReadTime is how much running time an entry needs after a pause to read the messages
-	// that were sent before or during the pause: a VM with 0.2 of a core reads some
-	// hundreds of requests in that time, at 0.2 ms each.
+	// that were sent before or during the pause: a VM with 0.2 of a core reads a few
+	// hundred requests in that time, at 0.2 ms each.
 	LongPauseReadTime = 250 * time.Millisecond
 	// ShortPauseReadTime is the running time for reading after a shorter pause: a hang-up or a
 	// cancellation from that pause is read within it.
--- a/internal/policy/ownership/model_steps_test.go
+++ b/internal/policy/ownership/model_steps_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// timeMayPass reports whether time may pass: not while an event is due at this step at
-// the latest.
+// timeMayPass reports whether time may pass. It may not while an event has to happen in
+// this step.
 func (s system) timeMayPass(w world) bool {
 	delivers := !w.partitioned && !w.holderPaused
 	switch {
@@ -198,7 +198,7 @@
 	w.holderRunLeft = s.renewedRun(w.holderRunLeft, &w.holderLease, w.cancel == cancelConfirmed, w.cancelledRunLeft)
 }
 
-// runAtOwner does the same at the owner.
+// runAtOwner lets the owner run the task, or renew the target's lease of its run.
 func (s system) runAtOwner(w *world) {
 	w.ownerRunLeft = s.renewedRun(w.ownerRunLeft, &w.ownerLease, w.ended, w.cancelledRunLeft)
 }
--- a/internal/policy/pace/pace.go
+++ b/internal/policy/pace/pace.go
@@ -10,11 +10,12 @@
 import "time"
 
 const (
-	// overdueFactor times the expected run time is when a run is first checked. Declared
-	// times are off by tens of percent and machines by a quarter: four in five runs have
-	// ended by then.
+	// overdueFactor and minOverdue determine when a run is first polled: overdueFactor
+	// times its expected run time after its start, plus minOverdue. Declared times are
+	// off by tens of percent and machines by a quarter: four in five runs have ended by
+	// then.
 	overdueFactor = 1.8
-	// minOverdue prevents short tasks from being checked merely because of a pause of the
+	// minOverdue prevents short tasks from being polled merely because of a pause of the
 	// entry or the network.
 	minOverdue = 80 * time.Millisecond
 	// moveFactor is how many times longer than a whole run elsewhere the remaining run
@@ -22,16 +23,17 @@
 	moveFactor = 3
 )
 
-// FirstPoll returns how long after its start a run is first checked.
+// FirstPoll returns how long after its start a run is first polled.
 func FirstPoll(expected time.Duration) time.Duration {
 	return time.Duration(overdueFactor*float64(expected)) + minOverdue
 }
 
-// NextPoll returns the time until the next check of a run.
+// NextPoll returns the time until the next poll of a run.
 func NextPoll(expected time.Duration) time.Duration { return expected/2 + minOverdue }
 
 // Move reports whether a run that has completed the given percentage of its work should
-// be moved, because restarting it elsewhere is expected to finish much sooner.
+// be moved, because restarting it elsewhere is expected to finish much sooner. A run that
+// has made no progress is always moved.
 func Move(expected, elapsed time.Duration, percent int) bool {
 	if percent <= 0 {
 		return true
--- a/internal/policy/split/split.go
+++ b/internal/policy/split/split.go
@@ -32,8 +32,9 @@
 	EntryRoundTrip time.Duration
 	// Run is the mean run time assumed for a task of a pool without measurements.
 	Run time.Duration
-	// WholeJobShare is the largest share of a holder's slots that a job may need and still
-	// always be kept whole. Zero splits every job.
+	// WholeJobShare is the share of a holder's slots up to which a job is kept whole,
+	// unless only a split lets it start at once and many slots are free, as given by
+	// minFreeShareToSplit. Zero splits every job.
 	WholeJobShare float64
 }
 
@@ -44,16 +45,17 @@
 }
 
 const (
-	// headroomShare is the share of a holder's slots that a job uses only after the
-	// slots of the other holders outside their headroom. With 100 slots or more and a
-	// load below 75%, the Erlang C formula gives a probability of waiting below 0.001,
-	// so using a single holder up to that load costs no response time.
+	// headroomShare is the headroom of a holder as a share of its slots. Within a zone,
+	// free slots outside the headroom of any holder are preferred to those inside one.
+	// With 100 slots or more and a load below 75%, the Erlang C formula gives a
+	// probability of waiting below 0.001, so using a single holder up to that load costs
+	// no response time.
 	headroomShare = 0.25
 
-	// spillFactor: tasks are sent to other zones once the expected wait in this zone
-	// exceeds spillFactor crossings, and stay local again once it is at most one
-	// crossing. The gap between the two bounds keeps two equally loaded zones from
-	// sending their tasks to each other.
+	// spillFactor is the expected wait in this zone, in round trips to another zone,
+	// above which tasks are sent to other zones. Tasks stay local again once the wait is
+	// at most one round trip. The gap between the two bounds keeps two equally loaded
+	// zones from sending their tasks to each other.
 	spillFactor = 4
 )
 
@@ -200,7 +202,8 @@
 // may start while another is refused or waits too long to be useful. The caller then
 // learns late that its job may have run, and the slots used by the first part are lost
 // to other jobs. A single holder accepts or refuses the whole job at once. Therefore a
-// job is split only if it is large in relation to a holder and the split gains much.
+// job is split only if it is large in relation to a holder and the split gains much, or
+// if only a split lets all of its tasks start at once and many slots are free.
 func (s *Splitter) holderForWholeJob(cs []*candidate, tasks []job.BatchTask, splitWait time.Duration) *candidate {
 	if len(tasks) < 2 || s.costs.WholeJobShare <= 0 {
 		return nil
@@ -295,7 +298,7 @@
 }
 
 // rank orders holders with the same expected start. This entry comes first because it
-// needs no message, and holders in other zones come last because they cost a crossing.
+// needs no message, and holders in other zones come last because of the round trip.
 // The others are ordered by a random draw weighted by free slots, so that owners with
 // the same view don't all choose the same holder.
 func (s *Splitter) rank(c *candidate) float64 {
--- a/internal/policy/voters/voters.go
+++ b/internal/policy/voters/voters.go
@@ -224,8 +224,8 @@
 
 func isMajority(n, of int) bool { return n > 1 && 2*n > of }
 
-// Order lists the entries that may carry out the change, first to last: a draining voter
-// carries out its own replacement, followed by the other voters by name.
+// Order lists the entries that may carry out the change, first to last: the draining voter
+// that the change replaces, if any, then the other voters by name.
 func Order(disks []Disk, v *Decision) []job.EntryID {
 	var order []job.EntryID
 	for _, d := range disks {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 // BenchmarkTask measures the cost of one task from its offer to its end while the
-// pool is full and tasks wait: for today's pool of 50 targets, and for one holder's
+// pool is full and tasks wait: for a pool of 50 targets, and for one holder's
 // part of 2,700 workers in 7 zones with 3 holders each, for 63 teams.
 func BenchmarkTask(b *testing.B) {
 	for _, size := range []struct{ targets, teams, tasks int }{{50, 8, 1}, {50, 8, 10}, {130, 63, 1}, {130, 63, 10}, {130, 63, 1900}, {2700, 63, 10}} {
--- a/internal/scheduler/earlieststart.go
+++ b/internal/scheduler/earlieststart.go
@@ -41,7 +41,8 @@
 	return last
 }
 
-// remaining returns the expected remaining run time of a task on a target of the given pace.
+// remaining returns the expected remaining run time of a task. pace is the expected run
+// time on its target as a multiple of that on the median target.
 func (t *task) remaining(now time.Time, pace float64) time.Duration {
 	whole := time.Duration(float64(t.expected) * pace)
 	left := whole - now.Sub(t.started)
--- a/internal/scheduler/finish.go
+++ b/internal/scheduler/finish.go
@@ -153,7 +153,7 @@
 }
 
 // limitToUsed reduces the size of a target to what its running tasks use, until its next
-// announcement. Without it, the target would refuse one task after another that fits into
+// announcement. Otherwise the target would refuse one task after another that fits into
 // its announced size.
 func (p *Pool) limitToUsed(now time.Time, tg *target) {
 	used := tg.used
--- a/internal/scheduler/next.go
+++ b/internal/scheduler/next.go
@@ -148,8 +148,8 @@
 )
 
 // leavesHeadroom reports whether the job has to leave the remaining free slots to
-// teams within their share. It never does while no task runs, since the end of a
-// running task triggers the next decision.
+// teams within their share. It never has to while no task runs: no end of a task
+// would then trigger the next decision.
 func (p *Pool) leavesHeadroom(b *batch) bool {
 	q := p.classes[b.class].lanes[b.lane()]
 	if b.class == job.UrgencyUrgent || p.running == 0 || p.freeSlots > p.headroom(b.class) {
--- a/internal/scheduler/offer.go
+++ b/internal/scheduler/offer.go
@@ -156,7 +156,8 @@
 	return d + time.Duration(retryJitter*p.rand.Float64()*float64(d))
 }
 
-// drainTime returns the expected time in which the pool starts so many tasks.
+// drainTime returns the expected time in which the pool starts the given number of
+// tasks, at least 100 ms.
 func (p *Pool) drainTime(tasks int) time.Duration {
 	perTask := p.estimates.PoolMean().Seconds() / max(1, p.slots)
 	return max(100*time.Millisecond, time.Duration(float64(tasks)*perTask*float64(time.Second)))
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -8,8 +8,8 @@
 
 const (
 	// maxCandidates is the number of least occupied targets with free capacity that
-	// are compared by rack. A rack holds eight targets today, so eight equally
-	// occupied candidates usually come from several racks.
+	// are compared by rack. With eight targets in a rack, eight equally occupied
+	// candidates usually come from several racks.
 	maxCandidates = 8
 	// maxVisits bounds the search in heap order among targets that have free slots
 	// but not enough free capacity. After that, all targets are searched once.
--- a/internal/scheduler/pool.go
+++ b/internal/scheduler/pool.go
@@ -79,7 +79,7 @@
 
 // ahead returns the work that is served before a job of the given size class:
 // the jobs up to about twice as large. The job overtakes larger ones, except for
-// those that have waited for long.
+// those that have waited for a long time.
 func (w *teamWork) ahead(size int) float64 {
 	sum := 0.0
 	for _, work := range w.bySize[:min(size+2, sizeClasses)] {
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -7,7 +7,7 @@
 )
 
 // probeRepeatableWait is how long a due probe waits for a repeatable task, since the
-// probe may fail. After that, it uses any task.
+// probe may fail. After that, or if no other target has a free slot, it uses any task.
 const probeRepeatableWait = 5 * time.Second
 
 // probeRecheck is how long a target is skipped after no queued task was suitable as
@@ -16,8 +16,8 @@
 const probeRecheck = 50 * time.Millisecond
 
 // startProbes starts one task on each target that is due for a probe. A target
-// without a suitable task is skipped, since the next target may be due too and the
-// only one that suits the queued task.
+// without a suitable task is skipped: the next target may be due too, and the queued
+// task may suit that one only.
 func (p *Pool) startProbes(now time.Time, d *Decisions) {
 	for p.probes.Len() > 0 && p.queued > 0 {
 		tg := p.probes.Min()
--- a/internal/scheduler/size.go
+++ b/internal/scheduler/size.go
@@ -82,9 +82,10 @@
 	}
 }
 
-// placeSized returns the target for a task that needs a large part of one: the target
-// with the lowest cost, by its speed and by the gap that the task would leave into
-// which no other fits. The cost of a gap grows with the utilisation of the pool.
+// placeSized returns the target for a task that needs a large part of a target. It
+// chooses the lowest placementCost: fast targets are preferred, and those on which the
+// task leaves no gap that is too small for another task. Later tasks lose such a gap
+// as a part of a slot, so its cost grows with the utilisation of the pool.
 func (p *Pool) placeSized(b *batch, t *task, worst tier) *target {
 	var best *target
 	bestCost := math.Inf(1)
--- a/internal/scheduler/target.go
+++ b/internal/scheduler/target.go
@@ -46,8 +46,8 @@
 
 	rankNode  pq.Node // position in Pool.ranked
 	probeNode pq.Node // position in Pool.probes
-	// skipUntil is until when probes skip the target, after no queued task was
-	// suitable as a probe.
+	// skipUntil is the time until which probes skip the target, after no queued
+	// task was suitable as its probe.
 	skipUntil time.Time
 	// slots, freeCapacity and freeSlots are the target's part of the pool's sums.
 	slots        float64
--- a/internal/scheduler/zone_test.go
+++ b/internal/scheduler/zone_test.go
@@ -179,9 +179,9 @@
 	}
 }
 
-// Three entries hold seven targets each, as in today's zones. Jobs reach them through
-// a load balancer, or all reach one entry. An owner receives the load of the others in
-// four reports a second. If it used only its own targets, or relied on the reports
+// Three entries of a zone hold seven targets each. Jobs reach them through a load
+// balancer, or all reach one entry. An owner receives the load of the others in four
+// reports a second. If it used only its own targets, or relied on the reports
 // alone, jobs would wait while slots are idle.
 func TestSplitApproachesOnePool(t *testing.T) {
 	t.Parallel()
