--- a/internal/handover/remote.go
+++ b/internal/handover/remote.go
@@ -39,8 +39,8 @@
 	// and its runs have ended; if the holder itself has stopped, the leases of its targets
 	// have expired.
 	holderLostAfter = ownership.MaxWorkAfterProof + 100*time.Millisecond
-	// maxStaleAnswers bounds how often an offer is sent because the proof that this owner is
-	// alive was too old. Each such answer brings a newer one.
+	// maxStaleAnswers bounds how often an offer is sent while the holder finds the proof
+	// that this owner is alive too old. Each such answer brings a newer timestamp.
 	maxStaleAnswers = 3
 	// maxAcks bounds the acknowledgements that wait for the next offer to a holder.
 	maxAcks = 4096
--- a/internal/handover/targets.go
+++ b/internal/handover/targets.go
@@ -38,7 +38,7 @@
 }
 
 // forwarded is the answer of peer.TargetForward. Holder is set if the answering
-// entry takes another entry for the holder, and Remembers if the answering entry
+// entry considers another entry the holder, and Remembers if the answering entry
 // remembers the holders of targets.
 type forwarded struct {
 	Lease     time.Duration `cbor:"1,keyasint,omitempty"`
@@ -58,8 +58,8 @@
 	registry Registry
 	// Remembers, if set, reports whether this entry remembers the holder of a target. The
 	// holder that such an entry names accepts the target whatever its own view: a holder
-	// that has just started would itself ask this entry and send the search back. Nil on
-	// entries that don't remember holders.
+	// that has just started would itself ask this entry and send the announcement back.
+	// Nil on entries that don't remember holders.
 	Remembers func(job.TargetID) bool
 }
 
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -43,7 +43,8 @@
 	Events  timeline.Sink
 	Log     *slog.Logger
 	// Crashes tracks the tasks that were running on targets when these ended; nil creates
-	// a new tracker. OnCrash, if not nil, is called for each such task.
+	// a new tracker. OnCrash, if not nil, is called for a task whenever the end of a target
+	// is newly counted against it.
 	Crashes *crash.Tracker
 	OnCrash func(owner job.Owner, t crash.Task)
 	// Scheduler disables individual scheduling decisions, for measurements.
--- a/internal/holder/loopback_test.go
+++ b/internal/holder/loopback_test.go
@@ -149,7 +149,7 @@
 	}
 	qt.Assert(t, targets[0].Kill(), qt.IsNil)
 	go func() {
-		for range entered { // later tasks only need their send to be received
+		for range entered { // lets the later tasks continue
 		}
 	}()
 	close(release)
--- a/internal/runs/answers.go
+++ b/internal/runs/answers.go
@@ -4,10 +4,10 @@
 
 // Load pattern: a share of all start requests gets lost in transit or is carried out seconds
 // later, while an entry with a small share of a processor may itself be the one that is late. A
-// task can't go to another target before the outcome of its start is known. With the 300 ms that a
-// poll may wait, tasks of 60 and 200 ms whose start was lost once always missed their objective of
-// 156 and 380 ms. A fixed short timeout fails the other way: an entry that is short of processor
-// time would doubt starts that were answered, and each doubt costs another poll.
+// task can't go to another target before the outcome of its start is known. With maxAnswerWait
+// (300 ms) as the timeout, tasks of 60 and 200 ms whose start was lost once always missed their
+// objective of 156 and 380 ms. A fixed short timeout fails the other way: an entry that is short of
+// processor time would doubt starts that were answered, and each doubt costs another poll.
 
 const (
 	// minStartWait is the shortest wait for the answer to a start: a round trip of 3 ms plus the
--- a/internal/runs/bound_test.go
+++ b/internal/runs/bound_test.go
@@ -25,9 +25,9 @@
 	return time.Since(begun)
 }
 
-// The holder no longer hears from the owner of a run, and each stop request that the holder sends
-// gets lost. The lease that the holder renews for other runs must not keep this run alive, because
-// its owner or its caller starts it elsewhere.
+// The holder receives nothing from the owner of a run any more, and each stop request that the
+// holder sends gets lost. The lease that the holder renews for other runs must not keep this run
+// alive, because its owner or its caller starts it elsewhere.
 func TestRunWithLostStopsEndsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
--- a/internal/runs/clock.go
+++ b/internal/runs/clock.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// epochShift leaves room below the clock's milliseconds for the salt and for steps within one
-// millisecond. epochStep is larger than any salt.
+// epochShift reserves the bits of an epoch below the clock's milliseconds, for the salt and for
+// steps within one millisecond. epochStep is larger than any salt.
 const (
 	epochShift = 12
 	epochStep  = 1 << 8
 	saltMask   = epochStep - 1
 )
 
-// clock is this entry's knowledge of a target's clock.
+// clock estimates a target's clock from the clock readings that the target has sent.
 type clock struct {
 	millis   int64
 	millisAt time.Time
@@ -31,8 +31,8 @@
 	}
 }
 
-// lowerBound returns the least that the target's clock can show: the last reading plus the time
-// since then, measured by the slowest clock allowed. The end of a lease is computed from it.
+// lowerBound returns the earliest time that the target's clock can show: a clock reading plus the
+// time since then, measured by the slowest clock allowed. The end of a lease is computed from it.
 // Computed from an estimate that runs ahead, a lease on a slow clock would last longer than
 // requested, by 20 ms for each second that the target is held.
 func (c *clock) lowerBound(now time.Time) int64 {
--- a/internal/runs/events_test.go
+++ b/internal/runs/events_test.go
@@ -53,8 +53,8 @@
 		time.Sleep(time.Second)
 		w.set(func() { w.unresponsive = true })
 		qt.Assert(t, (<-lost).Reason, qt.Equals, job.TargetLost)
-		// Between them are one accepted start and the renewals of one second, which are only
-		// counted.
+		// Between the takeover and the expiry are one accepted start and the renewals of one
+		// second. Both are only counted.
 		qt.Assert(t, later.all(), qt.DeepEquals, []timeline.Kind{
 			timeline.TargetTaken, timeline.RunAccepted,
 			timeline.LeaseRenewed, timeline.LeaseRenewed, timeline.LeaseRenewed, timeline.LeaseExpired,
--- a/internal/runs/poll.go
+++ b/internal/runs/poll.go
@@ -60,8 +60,8 @@
 // the next run may carry it.
 const ackDelay = 250 * time.Millisecond
 
-// pollLoop polls the target while something runs there, or it is not settled or is unresponsive.
-// An idle target gets no polls.
+// pollLoop polls the target while runs are active there, and while the target is not settled or is
+// unresponsive. An idle target gets no polls.
 func (s *Session) pollLoop() {
 	for s.ctx.Err() == nil {
 		delay, more := s.pollOnce()
@@ -177,8 +177,9 @@
 	return unresponsivePollInterval
 }
 
-// noteConnRefused notes that the target's machine refuses connections. Where that proves that the
-// target's process has ended, its runs have ended too. The caller holds the lock.
+// noteConnRefused notes that the target's machine refuses connections, which means that the
+// target's process has ended, and calls Options.Ended if runs of this session are there. The runs
+// still count as over only when the lease has expired. The caller holds the lock.
 func (s *Session) noteConnRefused(err error) {
 	if s.connRefused || !errors.Is(err, syscall.ECONNREFUSED) {
 		return
--- a/internal/runs/race_off_test.go
+++ b/internal/runs/race_off_test.go
@@ -2,5 +2,6 @@
 
 package runs
 
-// raceDetector says that the tests run about ten times slower.
+// raceDetector reports whether the race detector is on, which makes the tests run about ten times
+// slower.
 const raceDetector = false
--- a/internal/runs/repeat.go
+++ b/internal/runs/repeat.go
@@ -27,16 +27,17 @@
 	// the shortest timeout for its answer.
 	maxPromptCopies = 6
 	// maxLossyCopies and lossyResendDelay replace maxPromptCopies and the usual resend delay where
-	// requests get lost. Late answers lengthen the usual delay, but there the wait is for lost
-	// requests, not for late answers. With 10 ms the last start of a job of eight tasks arrives
-	// after 30 to 40 ms.
+	// requests get lost. The usual delay grows with late answers, but there an answer is missing
+	// because its request is lost, so a longer wait gains nothing. With 10 ms the last start of a
+	// job of eight tasks arrives after 30 to 40 ms.
 	maxLossyCopies   = 12
 	lossyResendDelay = 10 * time.Millisecond
 	// Where requests get lost, lossyPollWait is how long a poll waits at the target for an end,
-	// and lossyPollInterval how long after one such poll the next is sent. A poll that waits has
-	// no answer whether it is lost or not, so each one costs a call. Three or four wait at a time,
-	// and in one of ten cases an end finds all of them lost. maxLossyPollCopies bounds the number
-	// of polls: the session does not wait for them longer than they all take.
+	// and lossyPollInterval how long after one such poll the next is sent. While a poll waits, it
+	// can't be told from a lost one, so further polls are sent and each costs a call. Three or four
+	// polls wait at a time; in one of ten cases all of them are lost when a run ends.
+	// maxLossyPollCopies bounds the number of polls: the session does not wait for them longer than
+	// they all take.
 	lossyPollWait      = 100 * time.Millisecond
 	lossyPollInterval  = 30 * time.Millisecond
 	maxLossyPollCopies = 6
@@ -49,7 +50,7 @@
 	// maxTimerDelay is how late a timer may fire before this entry counts as paused or short of
 	// processor time: more than an answer takes, and half of the shortest resend delay.
 	maxTimerDelay = 5 * time.Millisecond
-	// brokenPollDelay is the delay before the poll that follows on one whose connection broke.
+	// brokenPollDelay is the delay before the poll that follows one whose connection broke.
 	brokenPollDelay = 10 * time.Millisecond
 )
 
@@ -87,10 +88,10 @@
 
 // firstAnswer makes a call and returns the first answer to a copy of it. A copy that fails is
 // followed by the next one at once. While this entry's own timers fire late, no copy is sent, and
-// the timeout of the call is extended by the delay. Copies still in flight when firstAnswer
-// returns end by their own timeouts: an answered call leaves its connection reusable, while a
-// cancelled one would cost a new connection. A policy of one copy calls send directly, and that
-// call ends with ctx.
+// the timeout of the call is extended by as much as they are late. Copies still in flight when
+// firstAnswer returns end by their own timeouts: an answered call leaves its connection reusable,
+// while a cancelled one would cost a new connection. A policy of one copy calls send directly, and
+// that call ends with ctx.
 func firstAnswer[T any](ctx context.Context, policy callPolicy, send func(context.Context) (T, error)) (got callResult[T], err error) {
 	if policy.maxCopies == 1 {
 		got.sent = 1
--- a/internal/runs/session.go
+++ b/internal/runs/session.go
@@ -243,9 +243,9 @@
 }
 
 // raiseEpoch raises the epoch of a target that stays settled, because its runs were started by
-// this session. One step exceeds this session's own requests but stays below the epoch of an entry
-// that has taken the target in the meantime. A higher epoch would take the target back from that
-// entry. The caller holds the lock.
+// this session. One step goes above the epoch of this session's own requests but stays below the
+// epoch of an entry that has taken the target in the meantime. A higher epoch would take the
+// target back from that entry. The caller holds the lock.
 func (s *Session) raiseEpoch() { s.epoch += epochStep }
 
 func (s *Session) resetReady() {
--- a/internal/runs/stale_start_test.go
+++ b/internal/runs/stale_start_test.go
@@ -76,7 +76,7 @@
 type lateWorker struct {
 	*worker
 	delayed Ref
-	// released is closed when the delayed starts may go on, broken when polls begin to fail.
+	// released is closed to let the delayed starts go on, broken to make polls fail.
 	released, broken chan struct{}
 }
 
--- a/internal/runs/start.go
+++ b/internal/runs/start.go
@@ -55,7 +55,7 @@
 			continue
 		case StaleRunNumber:
 			if inDoubt {
-				break // perhaps by a copy of this request
+				break // a copy of this request may have started the run
 			}
 			if s.isStopping(r) {
 				s.endRun(ref, r, erred(job.CancelledByCall, "stopped before it started", true))
--- a/internal/runs/taken_test.go
+++ b/internal/runs/taken_test.go
@@ -31,7 +31,7 @@
 			ended <- res
 		}()
 		time.Sleep(5 * time.Millisecond)
-		w.set(func() { w.epoch += 1 << 40 }) // of another entry, which has not polled yet
+		w.set(func() { w.epoch += 1 << 40 }) // the epoch of another entry, which has not polled yet
 		res := <-ended
 		qt.Check(t, alive, qt.IsFalse)
 		qt.Check(t, res.Status, qt.Equals, job.TaskErred)
--- a/internal/target/registry_test.go
+++ b/internal/target/registry_test.go
@@ -109,7 +109,8 @@
 
 // A target restarts on another port, two machines have the same id, or one process
 // announces two ids. The first case must work immediately. The others must be refused,
-// because the target would move back and forth or one process would count twice.
+// because the target would move back and forth or the slots of one process would count
+// twice.
 func TestMovesAndConflicts(t *testing.T) {
 	r := NewRegistry("a", config.Fixed{})
 	steps := []struct {
--- a/internal/target/start.go
+++ b/internal/target/start.go
@@ -76,12 +76,12 @@
 	// the target after the stop of the same task, and the task would run to its
 	// end for nobody.
 	Wanted func() bool
-	// Left returns how long the run may still go on unless that is extended; nil
-	// means no limit.
+	// Left returns how much longer the run may go on unless the owner extends that
+	// time; nil means no limit.
 	Left func() time.Duration
 }
 
-// Unwanted reports whether nobody waits for the task anymore.
+// Unwanted reports whether nobody waits for the task any more.
 func (t *Task) Unwanted() bool { return t.Wanted != nil && !t.Wanted() }
 
 // CancelledBeforeSend returns the result of a task that was cancelled before anything was sent.
