--- a/internal/consensus/value.go
+++ b/internal/consensus/value.go
@@ -19,7 +19,7 @@
 )
 
 // Identity is the random identifier of one disk. It is created when a data
-// directory is first used and is lost with that directory.
+// folder is first used and is lost with that folder.
 type Identity string
 
 // Voter is an entry together with the disk that stores its votes.
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,13 +1,13 @@
 // Package discovery lets entries find each other through seeds: a process is configured with
-// a few addresses at which other entries may listen, and learns from any that answers which
-// other entries exist.
+// a few addresses at which other entries may listen, and any entry that answers there sends
+// the records of the entries that it knows.
 //
 // A fleet may start all at once in any order; later, single entries join, change their
 // address or are replaced while seeds are down or unreachable. Without discovery, every entry
 // would have to be listed in the settings of every other one. An entry joins at each seed
-// until one answers, and sends new records to every linked entry at once. A slow exchange
-// with one entry after the other repairs what both mechanisms miss, such as two halves of a
-// fleet that started apart.
+// until one answers, and forwards new records at once: to all entries of a small fleet, to
+// some of a large one. A slow exchange with one random entry after the other repairs what
+// both mechanisms miss, such as two halves of a fleet that started apart.
 package discovery
 
 import (
@@ -38,13 +38,13 @@
 	Left bool `cbor:"8,keyasint,omitempty"`
 }
 
-// tombstoneTTL is how long records of a removed incarnation are rejected unless their sender
-// hears it. Other entries remove it within seconds of this one, and would bring it back until
-// then.
+// tombstoneTTL is how long records of a forgotten incarnation are rejected unless their sender
+// hears the incarnation. Other entries forget it within seconds of this one; until then their
+// records would bring it back.
 const tombstoneTTL = 2 * time.Minute
 
-// Directory is the registry of the entries that this one knows. It is safe for concurrent use and
-// reads no clock.
+// Directory is the registry of the entries that this one knows. It is safe for concurrent use
+// and reads no clock.
 type Directory struct {
 	mu         sync.Mutex
 	self       Record
@@ -52,7 +52,7 @@
 	tombstones map[job.EntryID]tombstone
 }
 
-// tombstone marks an incarnation that was removed.
+// tombstone marks an incarnation that was forgotten.
 type tombstone struct {
 	incarnation job.Incarnation
 	expires     time.Time
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -160,8 +160,8 @@
 	qt.Assert(t, <-ended, qt.IsNil)
 }
 
-// A sender without the secret asks for the entries and sends the record of a false one. It
-// must learn and change nothing.
+// A sender without the secret requests the records and sends its own. It must receive none,
+// and its own record must not be added.
 func TestJoinNeedsTheSecret(t *testing.T) {
 	var mesh peertest.Network
 	a := newEntry(&mesh, "a", func() []string { return nil }, "right")
--- a/internal/discovery/join.go
+++ b/internal/discovery/join.go
@@ -216,8 +216,8 @@
 func (j *Joiner) Exchange(address string) { j.join(context.Background(), address) }
 
 // recordsToSend returns all known records, marked with whether this entry hears each
-// incarnation. Only that mark lets an entry be added again that was forgotten during a long
-// partition.
+// incarnation. Only that mark allows an entry that was forgotten during a long partition to be
+// added again.
 func (j *Joiner) recordsToSend() []Record {
 	records := j.opts.Book.All()
 	for i := range records {
@@ -290,10 +290,10 @@
 // start while the seeds are down.
 const lastIncarnationTimeout = 300 * time.Millisecond
 
-// LastIncarnation returns the latest incarnation of an entry that any seed knows, or zero for none.
-// The time of day may jump back between two incarnations. If incarnations were numbered by
-// the time of day alone, all entries would then take the later one for the earlier one and
-// ignore it.
+// LastIncarnation returns the latest incarnation of an entry that any seed knows, or zero for
+// none. The time of day may jump back between two incarnations. If incarnations were numbered
+// by the time of day alone, the later one would then get the lower number and be ignored by
+// all entries.
 func LastIncarnation(ctx context.Context, seeds []string, secret []byte, entry job.EntryID) job.Incarnation {
 	ctx, cancel := context.WithTimeout(ctx, lastIncarnationTimeout)
 	defer cancel()
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -44,7 +44,7 @@
 	// declared dead. It covers several ticks of the detector and the delay of the query.
 	vouchValidity = 1250 * time.Millisecond
 	// refutedGrace is how long this entry doesn't declare an entry dead again after that entry
-	// has refuted its death: only the link between the two is broken.
+	// has refuted its death, since only the link between the two is broken.
 	refutedGrace = 30 * time.Second
 	// refusedAfter is how long an entry must be unresponsive before a refused connection proves
 	// that its process has ended. It covers a restart of the link alone.
@@ -83,14 +83,15 @@
 	pace     Pace
 	// watchedSince is when the entry was first watched at its present pace. silenceStart is the
 	// earliest time from which its silence counts: watchedSince, or later if this entry was
-	// paused.
+	// paused or partitioned.
 	watchedSince time.Time
 	silenceStart time.Time
 	lastHeard    time.Time
 	lastVouch    time.Time
-	// lastQuery is when other entries were last asked whether they hear this one.
+	// lastQuery is when other entries were last asked whether they hear the watched entry.
 	lastQuery time.Time
-	// everHeard is set once a heartbeat of this incarnation has been received.
+	// everHeard is set once a heartbeat or another sign of life of this incarnation has been
+	// received.
 	everHeard bool
 	// declaredDead is set while the entry is dead by this entry's own decision.
 	declaredDead bool
@@ -136,8 +137,10 @@
 	return d
 }
 
-// Add starts to watch another entry, which is suspect until it is heard. For a known entry,
-// Add only updates its attributes and, if the entry isn't watched, a later incarnation.
+// Add starts to watch another entry, which is suspect until it is heard. In a large fleet, Add
+// doesn't watch the entry, and considers it alive until another entry reports otherwise. For a
+// known entry, Add only updates its attributes and, if the entry isn't watched, a later
+// incarnation.
 func (d *Detector) Add(now time.Time, p Peer) []Change {
 	if p.Entry == d.self.Entry {
 		d.updateAttributes(&d.self, p)
@@ -282,7 +285,7 @@
 	return d.ApplyHeartbeat(now, from, state, revision)
 }
 
-// Vouch applies the answer of another entry that it hears an incarnation.
+// Vouch records that the entry by has answered that it hears an incarnation.
 func (d *Detector) Vouch(now time.Time, by job.EntryID, owner job.Owner) []Change {
 	p := d.peer(owner.Entry)
 	if p == nil || owner.Incarnation < p.Incarnation || p.State == Left && owner.Incarnation == p.Incarnation {
--- a/internal/membership/large_test.go
+++ b/internal/membership/large_test.go
@@ -61,7 +61,8 @@
 	go func() { _ = m.Run(ctx) }()
 }
 
-// differing lists the entries, except those in except, that don't see an entry in a state.
+// differing lists the entries that don't see the entry of in the given state, without those
+// in except.
 func (f *largeFleet) differing(of job.EntryID, state string, except ...job.EntryID) []string {
 	skip := map[job.EntryID]bool{of: true}
 	for _, id := range except {
@@ -112,8 +113,8 @@
 	}
 }
 
-// Guards against a death that entries which don't watch the dead one learn of late or never,
-// and against sparse watching that declares other entries dead.
+// Guards against entries that learn late or never of the death of an entry that they don't
+// watch, and against sparse watching that declares other entries dead.
 func TestDeathIsKnownEverywhere(t *testing.T) {
 	inLargeFleets(t, thousand, func(t *testing.T, f *largeFleet) {
 		dead := f.owners[7].Entry
@@ -172,7 +173,7 @@
 	})
 }
 
-// Guards against a partitioned entry that returns and spreads that the others died meanwhile.
+// Guards against a partitioned entry that returns and reports the other entries dead.
 func TestPartitionedEntryRejoins(t *testing.T) {
 	inLargeFleets(t, typical, func(t *testing.T, f *largeFleet) {
 		partitioned := f.owners[11].Entry
@@ -195,8 +196,8 @@
 	})
 }
 
-// Guards against a planned stop that entries which don't watch the stopping one learn of
-// late: they would continue to give it work.
+// Guards against entries that learn late of the planned stop of an entry that they don't
+// watch: they would continue to give it work.
 func TestPlannedStopIsKnownEverywhere(t *testing.T) {
 	inLargeFleets(t, typical, func(t *testing.T, f *largeFleet) {
 		stopping := f.owners[9].Entry
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -69,7 +69,7 @@
 	// Version increases with each change of this entry's view.
 	Version uint64
 	Self    Member
-	// List holds all configured entries, including this one, sorted by name.
+	// List holds all known entries, including this one, sorted by name.
 	List []Member
 	// Isolated is set while this entry hears no other entry, has heard others before, and
 	// others are configured in its zone. This entry is then more likely to be partitioned than
@@ -90,7 +90,8 @@
 	return m.List[i], true
 }
 
-// Gone reports whether the incarnation of an entry has ended or is considered ended.
+// Gone reports whether the incarnation of an entry has ended or is considered ended. Every
+// incarnation of an unknown entry counts as ended.
 func (m *Members) Gone(id job.EntryID, incarnation job.Incarnation) bool {
 	member, ok := m.Get(id)
 	if !ok || member.Incarnation > incarnation {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -5,8 +5,8 @@
 //
 // Entries die, restart, are partitioned for long or are paused by a busy VM, while each zone
 // has to keep serving. Without a shared view, a dead entry's targets would stay unserved,
-// and an entry that returns would act on outdated state. Timings documents the intervals and
-// their reasons; measured bytes are in docs/design/20-membership.md.
+// and an entry that returns would act on outdated state. InZone and AcrossZones hold the
+// intervals and document their reasons; measured bytes are in docs/design/20-membership.md.
 //
 // Heartbeats also carry data that would otherwise need separate messages: the number and
 // digest of the configuration, and the loads of the sender's targets.
@@ -75,11 +75,11 @@
 	Across Timings
 	// Now is the clock whose readings other entries echo; nil means time.Now.
 	Now func() time.Time
-	// Proved is called with a time at which another entry was certainly alive: it has echoed a
-	// reading that this entry's clock made then. May be nil.
+	// Proved is called with a time at which another entry was certainly alive: that entry has
+	// echoed the clock reading that this entry made at that time. May be nil.
 	Proved func(owner job.Owner, at time.Time)
-	// MayProve reports whether this entry may prove to another one that it continues to act for
-	// its callers; nil means always.
+	// MayProve reports whether this entry may prove to another one that this entry continues to
+	// act for its callers; nil means always.
 	MayProve func(to job.EntryID) bool
 }
 
@@ -243,7 +243,8 @@
 	return m.view.Load().Gone(entry, incarnation)
 }
 
-// Heard reports whether a heartbeat of an entry's present incarnation has arrived.
+// Heard reports whether a heartbeat or another sign of life of an entry's present incarnation
+// has arrived.
 func (m *Membership) Heard(entry job.EntryID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -252,7 +253,8 @@
 }
 
 // Silent returns how long ago an incarnation of an entry was last heard. For an incarnation
-// that has ended, or an unknown entry, it returns the maximum duration.
+// other than the latest known one, one that has left, or an unknown entry, it returns the
+// maximum duration.
 func (m *Membership) Silent(entry job.EntryID, incarnation job.Incarnation) time.Duration {
 	const forever = time.Duration(1<<63 - 1)
 	m.mu.Lock()
@@ -353,8 +355,8 @@
 	m.startQueries(queries)
 }
 
-// refreshWatched updates the watched entries, and requests the links to keep up if they have
-// changed.
+// refreshWatched updates the watched entries. If the list of links to keep up has changed, it
+// passes the list to Options.KeepLinks.
 func (m *Membership) refreshWatched(now time.Time) {
 	busy := m.busyEntries()
 	m.mu.Lock()
@@ -400,8 +402,9 @@
 // Leave announces to all entries that this one has ended its work.
 func (m *Membership) Leave(context.Context) { m.declareState(Left) }
 
-// AnnounceConfig announces a configuration that has just taken effect here to those neighbours in a
-// large fleet that aren't known to have it. In a small fleet the voters notify all entries.
+// AnnounceConfig announces a configuration that has just taken effect here to those
+// neighbours in a large fleet that aren't known to have it. In a small fleet the voters
+// notify all entries.
 func (m *Membership) AnnounceConfig() {
 	b := m.composeHeartbeat()
 	m.mu.Lock()
@@ -417,7 +420,8 @@
 	m.send(b, list)
 }
 
-// SendHeartbeats sends a heartbeat to all entries at once, for changes that callers wait for.
+// SendHeartbeats sends a heartbeat now to every entry that receives heartbeats or loads from
+// this one, for changes that callers wait for.
 func (m *Membership) SendHeartbeats() { m.sendDue(time.Now(), true) }
 
 func (m *Membership) declareState(s State) {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -173,8 +173,8 @@
 	})
 }
 
-// An entry is stopped as planned. It must not get targets from the first moment, yet it isn't
-// a dead owner while it finishes its work; after it has left, no entry waits for it.
+// An entry is stopped as planned. From the first moment on it must get no targets, but it must
+// not count as dead while it finishes its work. After it has left, no entry waits for it.
 func TestDrainThenLeave(t *testing.T) {
 	run(t, func(f *fleet) {
 		var views []State
@@ -197,7 +197,7 @@
 }
 
 // Heartbeats of a process that has been replaced arrive late. They must not revive its
-// incarnation, and lost heartbeats alone must move nothing.
+// incarnation, and a few lost heartbeats must not change its state.
 func TestLateAndLostHeartbeats(t *testing.T) {
 	now := time.Unix(1000, 0)
 	nobody := func(job.EntryID) bool { return false }
@@ -216,8 +216,8 @@
 	}
 	now = now.Add(refusedAfter + 1)
 	refusedB := func(id job.EntryID) bool { return id == "b" }
-	// A proxy on the path may refuse connections while the entry runs: entries that hear it
-	// decide.
+	// A proxy on the path may refuse connections although the entry runs: the answer of an
+	// entry that hears it takes precedence.
 	qt.Assert(t, d.QuerySubjects(now, refusedB), qt.HasLen, 1)
 	qt.Assert(t, d.Tick(now, refusedB), qt.HasLen, 0)
 	d.Vouch(now, "c", owner(5))
--- a/internal/membership/pace_test.go
+++ b/internal/membership/pace_test.go
@@ -36,8 +36,8 @@
 	return m.collectDue(now, &b, false)
 }
 
-// Guards against heartbeats that grow with the fleet, and against heartbeats to an entry that
-// shares work which are less frequent than its right to act requires.
+// Guards against a heartbeat rate that grows with the fleet. Also guards against sending
+// heartbeats to an entry that shares work less often than its right to act requires.
 func TestHeartbeatsOfALargeFleetAreBounded(t *testing.T) {
 	const seconds, limit = 30, 30 // heartbeats a second, two busy entries included
 	for _, others := range []int{watch.WatchAllMax + 1, 151, 300, 999} {
--- a/internal/membership/proof.go
+++ b/internal/membership/proof.go
@@ -21,7 +21,7 @@
 type stampedHeartbeat struct {
 	_    struct{} `cbor:",toarray"`
 	Beat cbor.RawMessage
-	// Reading is of the sender's clock. Echo is the last reading of the receiver's clock that
+	// Reading is a reading of the sender's clock. Echo is the last reading of the receiver's clock that
 	// the sender has; it was made by the receiver's incarnation Life.
 	Reading vmclock.Timestamp
 	Life    job.Incarnation
@@ -86,8 +86,8 @@
 	return m.timestamps.Decode(at), true
 }
 
-// SendHeartbeat sends a heartbeat to an entry whose link has just come up. The right of either entry
-// to act for the other depends on proofs that age while the link is down, and the next
+// SendHeartbeat sends a heartbeat to an entry whose link has just come up. The right of either
+// entry to act for the other depends on proofs that age while the link is down, and the next
 // regular heartbeat may be a whole period away.
 func (m *Membership) SendHeartbeat(to job.EntryID) {
 	b := m.composeHeartbeat()
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -233,7 +233,8 @@
 	}
 }
 
-// requestRefutation sends an entry the update that reports it dead, so that it refutes it.
+// requestRefutation sends an entry the update that reports it dead, so that the entry refutes
+// the update.
 func (m *Membership) requestRefutation(u Update) {
 	_ = m.opts.Mesh.Send(u.Entry, peer.MemberUpdates, []Update{u})
 }
--- a/internal/membership/watched.go
+++ b/internal/membership/watched.go
@@ -18,8 +18,8 @@
 // single request has no effect.
 const requestPeriods = 3
 
-// updateWatched updates the entries that this entry watches. busy lists those that share
-// work with it. The caller holds the lock.
+// updateWatched updates the entries that this entry watches. busy lists the entries that share
+// work with this one. The caller holds the lock.
 func (m *Membership) updateWatched(now time.Time, busy []job.EntryID) {
 	if m.chosenVersion != m.detector.version {
 		m.chooseWatchSet()
@@ -62,9 +62,9 @@
 }
 
 // sparsePaces returns the paces of the entries that this entry watches in a large fleet.
-// Besides ring neighbours, it closely watches entries that share work with it, because that
-// work ends when either entry is unresponsive, and other voter candidates, because a lost
-// voter has to be replaced within seconds, however large the fleet is.
+// Besides its ring neighbours, this entry closely watches entries that share work with it,
+// because that work ends when either entry is unresponsive, and other voter candidates,
+// because a lost voter has to be replaced within seconds, however large the fleet is.
 func (m *Membership) sparsePaces(busy []job.EntryID) map[job.EntryID]Pace {
 	out := map[job.EntryID]Pace{}
 	for _, id := range m.watchSet.Contacts {
@@ -83,12 +83,12 @@
 	return slices.ContainsFunc(m.loads[id].list, func(l job.HolderLoad) bool { return l.Targets > 0 })
 }
 
-// maxDiskEntries is the maximum number of other entries with a disk for which these entries
-// watch each other closely.
+// maxDiskEntries is the number of other entries with a disk up to which the entries with a
+// disk watch each other closely.
 const maxDiskEntries = 16
 
-// otherDiskEntries returns the other entries with a disk if this entry has one, or nil if
-// there are more than maxDiskEntries.
+// otherDiskEntries returns the other entries with a disk, which are those with Reserve set. It
+// returns nil if this entry has no disk or there are more than maxDiskEntries others.
 func (m *Membership) otherDiskEntries() []job.EntryID {
 	if !m.detector.self.Reserve {
 		return nil
@@ -156,8 +156,8 @@
 // maxMissedHeartbeats is the number of missed heartbeats after which a link counts as broken.
 const maxMissedHeartbeats = 4
 
-// Expects returns the time within which an entry has to send something, and the time from
-// which that counts. Both are zero for an entry that isn't watched.
+// Expects returns the time within which an entry has to send something, counted from since.
+// Both results are zero for an entry that isn't watched.
 func (m *Membership) Expects(id job.EntryID) (since time.Time, within time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/register/metrics.go
+++ b/internal/register/metrics.go
@@ -30,7 +30,7 @@
 	return r.node.Round
 }
 
-// VoterMetrics are the results of the last assessment of the voters; zero on an
+// VoterMetrics holds the results of the last assessment of the voters; zero on an
 // entry that does not vote.
 type VoterMetrics struct {
 	// Reachable counts the reachable voters whose disks are those that the register lists.
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -69,8 +69,8 @@
 	// each other; nil until they are known. It is called only while the register
 	// is not formed.
 	InitialVoters func() []job.EntryID
-	// Entries are the entries listed in the settings, Discovered those discovered
-	// since.
+	// Entries are the entries listed in the settings. Discovered returns those
+	// discovered since the start.
 	Entries    []job.EntryID
 	Discovered func() []job.EntryID
 	// Repair, when set, enables the repair of the voter set without an operator.
@@ -86,7 +86,8 @@
 	Clock func() time.Time
 }
 
-// Register is one entry's participant in the consensus. It implements config.View.
+// Register holds one entry's configuration and, on an entry with a disk, takes part in
+// the consensus. It implements config.View.
 type Register struct {
 	opts   Options
 	mesh   peer.Mesh
--- a/internal/register/repair.go
+++ b/internal/register/repair.go
@@ -49,7 +49,7 @@
 
 // repairState is the state of the goroutine that repairs the voter set.
 type repairState struct {
-	// away holds since when entries have not been alive.
+	// away holds, for each entry that is not alive, when it was first seen so.
 	away map[job.EntryID]time.Time
 	// due is the change that is due, dueAt the time since which it is due.
 	due   dueChange
@@ -107,9 +107,9 @@
 	return r.changeVoters(ctx, s.Version, decision.Action)
 }
 
-// TransferVote transfers this entry's vote to a spare disk, if there is one, before a planned
-// stop: otherwise the set would have one voter less until its repair. It returns when the
-// vote was transferred or can't be transferred.
+// TransferVote transfers this entry's vote to a spare disk, if there is one, before a
+// planned stop: otherwise the set would have one voter less until its repair. It returns
+// when the vote was transferred, can't be transferred, or retireTimeout is over.
 func (r *Register) TransferVote(ctx context.Context) {
 	if r.opts.Repair == nil {
 		return
@@ -162,7 +162,8 @@
 		"spare_disks", spares, "wanted", r.opts.Repair.Want, "disks", describeDisks(disks, time.Now()))
 }
 
-// describeDisks describes each disk's role, liveness and the age of its liveness.
+// describeDisks describes each disk's role, its liveness and how long it has had that
+// liveness.
 func describeDisks(disks []voters.Disk, now time.Time) []string {
 	var out []string
 	for _, d := range disks {
@@ -282,7 +283,7 @@
 	}
 }
 
-// describeChange describes a change of the voters for the time line.
+// describeChange describes a change of the voters for the timeline.
 func describeChange(a voters.Action) string {
 	if a.Old == "" {
 		return "added: " + a.Cause
--- a/internal/register/wire.go
+++ b/internal/register/wire.go
@@ -12,8 +12,8 @@
 	"github.com/vanillagrade/vanillagrade/internal/storage"
 )
 
-// snapshot is the part of a value that an entry needs to serve with it and to send
-// it to other entries.
+// snapshot is the part of a consensus value that an entry needs to serve callers and
+// sends to entries that pull.
 type snapshot struct {
 	Version uint64            `cbor:"1,keyasint"`
 	Lineage uint64            `cbor:"2,keyasint"`
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -124,7 +124,7 @@
 	qt.Assert(t, s.Close(), qt.IsNil)
 }
 
-// An operator starts an entry on the data directory of a running one. Both would
+// An operator starts an entry on the data folder of a running one. Both would
 // vote under one identity, each without knowing the other's votes.
 func TestFolderIsOpenedOnce(t *testing.T) {
 	d := t.TempDir() + "/a/b"
--- a/internal/storage/submissions.go
+++ b/internal/storage/submissions.go
@@ -128,7 +128,7 @@
 	return l.live.records()
 }
 
-// Stats returns the counts since the log was opened.
+// Stats returns the counters since the log was opened and the current sizes.
 func (l *SubmissionLog) Stats() LogStats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
