--- a/internal/entry/announced.go
+++ b/internal/entry/announced.go
@@ -23,8 +23,9 @@
 // existing pool. If it contradicts the registry, the entry asks the announced
 // address which incarnation listens there.
 
-// probeTimeout bounds the query which incarnation of a target listens: a round trip
-// of 3 ms, plus twice the 100 ms for which a small VM may have used up its CPU share.
+// probeTimeout bounds the query that asks an address which incarnation of a target
+// listens there: a round trip of 3 ms, plus twice the 100 ms for which a small VM may
+// have used up its CPU share.
 const probeTimeout = 250 * time.Millisecond
 
 // validate checks an announcement by itself and counts it if it is malformed.
@@ -106,7 +107,7 @@
 		defer client.Close()
 		// A renewal without an epoch and without a lease changes nothing at the target.
 		reply, err := client.Renew(ctx, runs.PollRequest{})
-		// Each target reports its clock; another program that answers may not.
+		// A target always reports its clock; another program that answers may not.
 		return err == nil && reply.Clock != 0 && (reply.Refusal == runs.Accepted || reply.Refusal == runs.Fenced)
 	}
 }
--- a/internal/entry/announced_test.go
+++ b/internal/entry/announced_test.go
@@ -142,8 +142,8 @@
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// A target announces its planned stop, and an entry that holds a target of the same name at
-// another address or in another pool is notified. That target must stay.
+// A target announces its planned stop. The entry that is notified holds another target, with
+// the same name but another address or pool. The held target must stay.
 func TestLeavingIsForOneTargetOnly(t *testing.T) {
 	ts := newTestTargets(t, nil)
 	withdraw := func(what any) error {
--- a/internal/entry/assign.go
+++ b/internal/entry/assign.go
@@ -12,9 +12,9 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// holderDiscoveryTime is how long a new incarnation waits at most before it accepts
-// targets that its rank assigns to it: until it has received heartbeats from the other
-// entries of its zone, it does not know which of them hold targets.
+// holderDiscoveryTime is the longest time that a new incarnation waits before it accepts
+// targets that its rank assigns to it. Until it has received heartbeats from the other
+// entries of its zone, it does not know which of them hold the targets.
 const holderDiscoveryTime = time.Second
 
 // holderOf returns the entry that holds a target or should hold it; empty while
@@ -25,8 +25,8 @@
 	}
 	recorded, found := t.inventory.holderOf(announced.ID)
 	if recorded != "" || !found && time.Since(t.started) < holderDiscoveryTime {
-		// A holder that is about to be discovered reclaims its targets by itself. Assigned
-		// to another entry in the meantime, they would change holders twice.
+		// A holder that is about to be discovered reclaims its targets by itself. If they
+		// were assigned to another entry in the meantime, they would change holders twice.
 		return recorded
 	}
 	if last := t.lastHolder(announced.ID); last != "" {
@@ -104,8 +104,8 @@
 	return holders
 }
 
-// targetCounts returns how many targets of a pool each entry holds, including those that
-// this entry has sent to it since its last report.
+// targetCounts returns how many targets of a pool each entry holds. The count includes the
+// targets that this entry has sent to the holder since the holder's last report.
 func (t *targets) targetCounts(pool string) map[job.EntryID]int {
 	now := time.Now()
 	var reported []assign.HolderReport
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -426,8 +426,8 @@
 	return api.Serve(ctx, server, l, stopTimeout)
 }
 
-// Slots returns the slots of a pool that this entry can place tasks on, held
-// here or elsewhere.
+// Slots returns the number of slots of a pool on which this entry can place tasks,
+// held here or elsewhere.
 func (e *Entry) Slots(pool string) int { return e.holders.knownSlots(pool) }
 
 // Load returns the load of the pool's targets that this entry holds.
--- a/internal/entry/holders.go
+++ b/internal/entry/holders.go
@@ -22,8 +22,8 @@
 
 	mu       sync.Mutex
 	splitter *split.Splitter
-	// reportedAt is the time of each entry's last reported load, slots are the slots
-	// that it reported for each pool.
+	// reportedAt is the time of each entry's last reported load, and slots the number
+	// of slots that the entry reported for each pool.
 	reportedAt map[job.EntryID]time.Time
 	slots      map[job.EntryID]map[string]int
 	// answerLoads are the loads that arrived with answers whose outcomes are not counted yet.
--- a/internal/entry/inventory.go
+++ b/internal/entry/inventory.go
@@ -25,7 +25,8 @@
 	// changes an hour, and a sync delays consensus on the same disk.
 	reportInterval = 500 * time.Millisecond
 	saveInterval   = time.Second
-	// reportTimeout bounds one report, and one query for the targets last held.
+	// reportTimeout bounds one report, and one query for the targets that the previous
+	// incarnation held.
 	reportTimeout = 400 * time.Millisecond
 	// yieldRetention is how long an entry that lost a target to another one queries a keeper
 	// for the new holder instead of taking the target back: a few announcements.
@@ -35,13 +36,13 @@
 	heldFormat = 1
 )
 
-// recallReply is the answer to an entry that queries which targets its previous incarnation
+// recallReply is the answer to an entry that asks which targets its previous incarnation
 // held.
 type recallReply struct {
 	Held inventory.Report `cbor:"1,keyasint"`
 	// Known is false if the entry has never reported.
 	Known bool `cbor:"2,keyasint,omitempty"`
-	// Later requests another query later: the record may be older than what others hold now.
+	// Later asks the entry to query again later, because the record may be outdated.
 	Later bool `cbor:"3,keyasint,omitempty"`
 }
 
@@ -63,12 +64,12 @@
 	// heardFrom are the entries that have reported their targets since this one started.
 	heardFrom map[job.EntryID]bool
 
-	// lastReport is this entry's latest report, delivered the report that each entry has
-	// received last. Only one goroutine uses them.
+	// lastReport is this entry's latest report, and delivered identifies the report that
+	// each entry has received last. Only one goroutine uses them.
 	lastReport inventory.Report
 	delivered  map[job.EntryID]reportID
-	// pending are the targets being reclaimed, which are queried whether they are still the
-	// same. reclaimed is set once reclaiming has begun.
+	// pending are the targets being reclaimed: each is asked whether it is still the same
+	// incarnation. reclaimed is set once reclaiming has begun.
 	pending   atomic.Pointer[map[job.TargetID]bool]
 	reclaimed atomic.Bool
 }
@@ -113,8 +114,8 @@
 }
 
 // run reclaims the targets of this entry's previous incarnation, and then reports the held
-// targets until ctx ends. It must not report earlier: the first report would replace the one
-// that it queries.
+// targets until ctx ends. It must not report earlier: the first report would replace the
+// record of the previous incarnation's targets.
 func (v *targetInventory) run(ctx context.Context) error {
 	v.recall(ctx)
 	v.report(ctx)
--- a/internal/entry/keep.go
+++ b/internal/entry/keep.go
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// chooseKeeper returns the keeper for a submission: this entry's own disk, else an
-// entry of this zone, else an entry of another zone.
+// chooseKeeper returns the keeper for a submission: this entry if the mode is synced and
+// it has a disk, otherwise the first of rankKeepers.
 func (e *Entry) chooseKeeper(mode job.Keep, id job.ID) (pipeline.Acceptor, bool) {
 	synced := mode == job.KeepSynced
 	if synced && e.keeper.HasDisk() {
@@ -121,14 +121,14 @@
 
 // joinedCallerAttempt reports whether a driven submission was joined to a caller's own
 // attempt in this entry and received the answer of that attempt, "its owner is lost".
-// It was not driven then, so the caller of this function must try again. Otherwise no
-// entry would drive the submission, and its callers would be refused forever.
+// The submission was not driven in that case, so the caller of this function must try
+// again. Otherwise no entry would drive it, and its callers would be refused forever.
 func joinedCallerAttempt(a job.Answer) bool {
 	return a.Outcome == job.Refused && a.Reason == job.OwnerLost
 }
 
 // Tasks of a lost owner may still run at holders. Their results are polled until all
-// have arrived, for as long as all but the longest tasks take.
+// have arrived, at most for collectTimeout: all but the longest tasks end within it.
 const (
 	collectInterval = 250 * time.Millisecond
 	collectTimeout  = 10 * time.Second
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -9,7 +9,7 @@
 )
 
 // connector returns a function that connects to targets that run tasks under a lease. It
-// returns nil if targets answer each task by itself.
+// returns nil without Options.Orders: the holder then uses the targets' HTTP interface.
 func (e *Entry) connector() func(job.Target) holder.Connection {
 	if e.opts.Orders == nil {
 		return nil
--- a/internal/entry/recall.go
+++ b/internal/entry/recall.go
@@ -21,7 +21,7 @@
 )
 
 // recall reclaims the targets that the previous incarnation of this entry held, and notifies
-// all entries of them at once.
+// all entries of these targets at once.
 func (v *targetInventory) recall(ctx context.Context) {
 	begun := time.Now()
 	held, answers := v.queryLastHeld(ctx)
@@ -37,8 +37,8 @@
 	}
 }
 
-// queryLastHeld queries each entry with a disk once it is discovered, and returns the most
-// recent report.
+// queryLastHeld queries each entry of this zone that has a disk, once it is discovered, and
+// returns the most recent report.
 func (v *targetInventory) queryLastHeld(ctx context.Context) (last inventory.Report, answers int) {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
@@ -91,7 +91,8 @@
 	delete(a.entries, entry)
 }
 
-// queryKeepers queries the keepers that were discovered since the last call.
+// queryKeepers queries the keepers that were discovered since the last call, and again those
+// that could not answer.
 func (v *targetInventory) queryKeepers(ctx context.Context, queried *querySet, replies chan<- inventory.Report) {
 	view := v.members.View()
 	for _, m := range view.List {
@@ -124,10 +125,10 @@
 }
 
 // reclaim reclaims the targets that are still the same and that no other entry has taken, and
-// returns their number. It queries them one after the other: an entry is short of processor
-// time just after its start, and each reclaimed target brings work. If all were reclaimed at
-// once, starts would go unanswered for lack of processor time, and resending them would use
-// even more of it.
+// returns their number. It queries the targets one after the other: an entry is short of
+// processor time just after its start, and each reclaimed target brings work. If all were
+// reclaimed at once, starts would go unanswered for lack of processor time, and resending them
+// would use even more of it.
 func (v *targetInventory) reclaim(list []job.Target) int {
 	pending := map[job.TargetID]bool{}
 	for i := range list {
--- a/internal/entry/review_test.go
+++ b/internal/entry/review_test.go
@@ -12,7 +12,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/runs"
 )
 
-// emptyTargetClient is a program that answers each call with 200 and an empty body. The platform
+// emptyTargetClient is a program that answers each call with 200 and an empty body. An entry
 // reads this as an answer without a refusal and without a clock.
 type emptyTargetClient struct{ runs.TargetClient }
 
--- a/internal/entry/rights.go
+++ b/internal/entry/rights.go
@@ -95,7 +95,7 @@
 // Reading implements handover.Rights.
 func (r *rights) Reading() vmclock.Timestamp { return r.reading() }
 
-// recordProof records that an owner was alive at a time.
+// recordProof records that an owner was alive at the given time.
 func (r *rights) recordProof(owner job.Owner, at time.Time) { r.table.Renew(r.clock.Now(), owner, at) }
 
 // ownRight returns this entry's right to act for its own callers, for a request that was
@@ -141,8 +141,9 @@
 	return !e.rights.mayReadStale() && !e.remote.CancelUnconfirmed(to)
 }
 
-// proofFor returns the reading of a holder's clock that proves to the holder that this entry
-// is alive; zero while this entry may not prove it.
+// proofFor returns the last reading of a holder's clock that this entry has received. It
+// proves to the holder that this entry is alive. It is zero while this entry may not prove
+// that.
 func (e *Entry) proofFor(to job.EntryID, incarnation job.Incarnation) vmclock.Timestamp {
 	if e.rights != nil && !e.mayProve(to) {
 		return 0
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -67,7 +67,7 @@
 	yielded map[job.TargetID]time.Time
 }
 
-// announcement is a target's last announcement, the entry that received it and the time at
+// announcement is a target's last announcement, the holder that received it and the time at
 // which it expires.
 type announcement struct {
 	target  job.Target
@@ -272,8 +272,8 @@
 }
 
 // remove stops new work on a target; removeFromHolder removes it from the holder. Where one
-// entry at a time controls each target, later announcements of the target at the address are
-// refused, or at any address if it is empty.
+// entry at a time controls each target, later announcements of the target at this address are
+// refused. An empty address stands for any address.
 func (t *targets) remove(id job.TargetID, address string, removeFromHolder func(job.TargetID)) {
 	t.changeMu.Lock()
 	defer t.changeMu.Unlock()
--- a/internal/entry/targets_test.go
+++ b/internal/entry/targets_test.go
@@ -78,8 +78,8 @@
 func (busyConn) Close() {}
 
 // Hundreds of workers are replaced each day, each under a new name. An entry must
-// forget their announcements when their leases expire, or they would fill the memory
-// of an entry that runs for a year.
+// forget their announcements when the leases expire. Otherwise the announcements would
+// fill the memory of an entry that runs for a year.
 func TestAnnouncementsAreForgottenWithTheirLease(t *testing.T) {
 	h := holder.New(holder.Options{Config: config.Fixed{}, Client: target.NewClient(target.ClientOptions{})})
 	ts := &targets{registry: target.NewRegistry("a", config.Fixed{}), holder: h, events: timeline.Discard{}, announcements: map[job.TargetID]announcement{}}
--- a/internal/job/outcome.go
+++ b/internal/job/outcome.go
@@ -159,7 +159,7 @@
 	// Over is set with TaskErred if every run of the task has ended, so that another
 	// run cannot overlap with an earlier one.
 	Over bool `cbor:"10,keyasint,omitempty"`
-	// Crashed has the targets that ended while the task ran on them.
+	// Crashed lists the targets that ended while the task ran on them.
 	Crashed []TargetID `cbor:"11,keyasint,omitempty"`
 }
 
@@ -169,7 +169,7 @@
 type BatchTask struct {
 	Index    int `cbor:"1,keyasint"`
 	TaskSpec `cbor:"2,keyasint,omitzero"`
-	// Crashed has the targets that ended while an earlier run of the task was on them.
+	// Crashed lists the targets that ended while an earlier run of the task was on them.
 	Crashed []TargetID `cbor:"3,keyasint,omitempty"`
 }
 
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -53,7 +53,7 @@
 type Kept struct {
 	Owner      job.Owner      `cbor:"1,keyasint"`
 	Submission job.Submission `cbor:"2,keyasint"`
-	// Granted has the tasks that may have been handed to a holder.
+	// Granted contains the tasks that may have been handed to a holder.
 	Granted []int `cbor:"-"`
 }
 
--- a/internal/pipeline/placement.go
+++ b/internal/pipeline/placement.go
@@ -17,20 +17,20 @@
 	placeTimeout    = 4 * time.Second
 )
 
-// maxRefusals limits how many refusals a submission of which no task was accepted
-// collects. Load reports are at most one heartbeat old, so a second offer covers
-// an outdated report and a third a holder that has stopped in the meantime. More
-// offers would only add messages while every holder is full.
+// maxRefusals limits the refusals that a submission collects while none of its
+// tasks is accepted. Load reports are at most one heartbeat old, so a second offer
+// covers an outdated report and a third a holder that has stopped in the meantime.
+// More offers would only add messages while every holder is full.
 const maxRefusals = 3
 
 // placement decides for one submission which holders may be offered unstarted
 // tasks and when tasks without a holder end. It does no I/O and no locking; its
 // flight holds a lock.
 type placement struct {
-	// open has the holders whose batch of the submission is not yet reported. A
+	// open contains the holders whose batch of the submission is not yet reported. A
 	// holder accepts one batch of a submission at a time.
 	open map[job.EntryID]openBatch
-	// refused has the holders that returned tasks unstarted since the last
+	// refused contains the holders that returned tasks unstarted since the last
 	// acceptance or wait.
 	refused map[job.EntryID]bool
 	// refusal is the last such outcome, and refusals counts them.
@@ -38,9 +38,8 @@
 	refusals int
 	// unplacedSince is when tasks were first without a holder; zero if all have one.
 	unplacedSince time.Time
-	// movingSince is when holders had first returned the tasks maxRefusals times
-	// because targets are moving between holders; zero once a holder has accepted
-	// them.
+	// movingSince is when maxRefusals was first reached because targets are moving
+	// between holders; zero once a holder has accepted the tasks.
 	movingSince time.Time
 }
 
@@ -129,10 +128,11 @@
 }
 
 // targetsMoving reports whether tasks were returned because targets are moving
-// between holders, which takes only moments. A refusal for load is different: its
-// caller is refused at once with a retry delay. While a holder hands its targets
-// over, the other holders return the tasks to the owner within a millisecond, so
-// maxRefusals of these only make the tasks wait, for placeTimeout in all.
+// between holders, which takes only moments. A refusal for load is different: the
+// caller is then refused at once with a retry delay. While a holder hands its
+// targets over, the other holders return the tasks to the owner within a
+// millisecond and maxRefusals is soon reached. The tasks then wait instead of
+// failing, for placeTimeout in all.
 func (p *placement) targetsMoving(now time.Time) bool {
 	switch p.refusal.Reason {
 	case job.TargetRefused:
--- a/internal/pipeline/record.go
+++ b/internal/pipeline/record.go
@@ -10,7 +10,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// Record records how each submission ended, in the time line and in counters. It
+// Record records how each submission ended, in the timeline and in counters. It
 // is the first stage, so that it sees the answers of all other stages.
 type Record struct {
 	Events timeline.Sink
@@ -44,8 +44,9 @@
 	return a
 }
 
-// RecordRefusal records a refusal of a request for which no submission was created: its body was
-// not read, or no configuration exists yet. The caller has an id for the request anyway.
+// RecordRefusal records the refusal of a request for which no submission was created, because
+// its body was not read or no configuration exists yet. The refusal still carries an id for
+// the caller.
 func (r *Record) RecordRefusal(a job.Answer) {
 	r.count(&a)
 	r.Events.Record(timeline.Event{Kind: timeline.SubmissionAnswered, Submission: a.ID, Reason: a.Reason, Cause: summary(&a)})
--- a/internal/pipeline/run.go
+++ b/internal/pipeline/run.go
@@ -28,8 +28,8 @@
 
 // deadlineGrace is how long after the deadline the owner waits for holders to
 // report that no task had started. Holders drop expired tasks themselves at the
-// deadline; the report takes one trip between availability zones (1.5 ms at most
-// today) and a scheduling delay. Without the grace period, every expired answer
+// deadline; the report takes one trip between availability zones (1.5 ms at
+// most) and a scheduling delay. Without the grace period, every expired answer
 // would have to say "may have run".
 const deadlineGrace = 20 * time.Millisecond
 
@@ -71,7 +71,7 @@
 	mu        sync.Mutex
 	collector *Collector
 	placement placement
-	// granted has the tasks that the keeper has granted to this flight.
+	// granted contains the tasks that the keeper has granted to this flight.
 	granted map[int]bool
 }
 
@@ -391,8 +391,8 @@
 
 // withdrawTimeout limits how long a failed submission waits for its holders to
 // report that no task ran: a round trip between zones and a pause of a busy VM.
-// After "not run" the caller may send the job elsewhere; any other answer leaves
-// it uncertain.
+// After "not run" the caller may send the job elsewhere. After any other answer
+// it can't know whether a task ran.
 const withdrawTimeout = 50 * time.Millisecond
 
 // withdraw cancels the remaining tasks of a failed submission at their holders.
--- a/internal/pipeline/stage.go
+++ b/internal/pipeline/stage.go
@@ -2,7 +2,7 @@
 // from the checked request to the complete answer. Each stage has one purpose; it
 // receives a Flow and either answers it or passes it to the next stage:
 //
-//	check → join → claim → keep → admit → run
+//	record → freshness → check → join → claim → admit → keep → run
 //
 // The stages do the locking and the I/O. The decisions are made by Collector and
 // by the packages under internal/policy, which do neither.
@@ -25,10 +25,10 @@
 	// processed has no effect on it.
 	File    *config.File
 	Service config.Service
-	// Started has the tasks that an earlier owner may have started; they never
-	// start again. It is nil for a new submission.
+	// Started contains the tasks that an earlier owner may have started; they
+	// never start again. It is nil for a new submission.
 	Started map[int]bool
-	// Held has the results that an earlier owner had collected.
+	// Held contains the results that an earlier owner had collected.
 	Held []job.TaskOutcome
 	// Resumed is set for a kept submission that is resumed after its owner was
 	// lost: it was already checked, claimed and admitted.
@@ -53,7 +53,7 @@
 	return now.Sub(f.Submission.Received)+longest <= time.Duration(job.UsefulFactor*objective)
 }
 
-// Next hands a flow to the rest of the chain and returns its answer.
+// Next passes a flow to the rest of the chain and returns its answer.
 type Next func(ctx context.Context, f *Flow) job.Answer
 
 // Stage is one filter of the chain.
--- a/internal/registrar/claim.go
+++ b/internal/registrar/claim.go
@@ -248,8 +248,9 @@
 
 // evaluateRecords returns the result of the records of all other claimants. The
 // record of a lost claimant may belong to a claim that never started, while
-// another record belongs to a running job. It therefore decides only when all
-// registrars have answered and no other record is more conclusive.
+// another record belongs to a running job. The record of a lost claimant therefore
+// decides only when all asked registrars that are not suspected have answered and
+// no other record is more conclusive.
 func (c *claim) evaluateRecords(view *membership.Members, digest job.Digest) (best claimResult, found bool) {
 	outstanding := false
 	for _, entry := range c.askedRegistrars() {
@@ -305,8 +306,8 @@
 	ranked := view.Ranked(zone, string(c.id))
 	required := requiredGrants(ranked)
 	if remote && !c.hasOutstanding(view, ranked) {
-		// One grant is enough where the others can't be reached: an owner in that
-		// zone needs two grants, so it meets this claim at the one.
+		// One grant is enough if the other registrars can't be reached: an owner in
+		// that zone needs two grants, so one of them is at the same registrar.
 		required = min(1, required)
 	}
 	if len(ranked) == 0 {
@@ -337,7 +338,8 @@
 	return claimResult{kind: resultWait, reason: job.NoRegistrar}
 }
 
-// hasOutstanding reports whether a reply of an unsuspected entry is missing.
+// hasOutstanding reports whether the reply of an entry that is not suspected is
+// missing.
 func (c *claim) hasOutstanding(view *membership.Members, ranked []job.EntryID) bool {
 	for _, entry := range ranked {
 		member, _ := view.Get(entry)
--- a/internal/registrar/completeness.go
+++ b/internal/registrar/completeness.go
@@ -44,9 +44,9 @@
 	coldUntil time.Time
 }
 
-// loss states that the records of ids whose registrars in base were all among dead
-// may be lost: such an id may be unknown although it was started. A loss without a
-// base applies to every id.
+// loss describes records that may be lost: those of the ids whose registrars in the
+// set base were all among the entries dead. Such an id may be unknown although it was
+// started. A loss without a base applies to every id.
 type loss struct {
 	base  []job.EntryID
 	dead  []job.EntryID
@@ -235,8 +235,8 @@
 	return Authoritative
 }
 
-// includes reports whether l covers every id that other covers, for as long up to
-// lossTolerance.
+// includes reports whether l covers every id that other covers and expires no
+// earlier than other, up to a difference of lossTolerance.
 func (l *loss) includes(other *loss) bool {
 	if l.until.Add(lossTolerance).Before(other.until) {
 		return false
--- a/internal/registrar/explore_simulation_test.go
+++ b/internal/registrar/explore_simulation_test.go
@@ -13,9 +13,9 @@
 // The explorer runs the production code of claim, table, ownerTable and
 // completeness for three entries through every interleaving within its bounds:
 // claims of one id at several entries, messages that are delivered in any order or
-// lost, and an entry that crashes, whose crash each other entry detects at any later
-// time, and that restarts without its data. Each choice leads from a state to a
-// new one; states that were visited before are not explored again.
+// lost, and an entry that crashes and restarts without its data. Each other entry
+// detects the crash at any later time. Each choice leads from a state to a new one;
+// states that were visited before are not explored again.
 //
 // Invariants: no id starts twice. Without crashes and lost messages, every claim is
 // decided, exactly one starts the submission, and the joins of all others lead to
--- a/internal/registrar/messages.go
+++ b/internal/registrar/messages.go
@@ -73,7 +73,7 @@
 	ID job.ID `cbor:"1,keyasint"`
 	// Digest identifies the content that the asking entry would start.
 	Digest job.Digest `cbor:"2,keyasint"`
-	// Of is the incarnation of the entry to which the question applies.
+	// Of is the incarnation of the asked entry for which the request is meant.
 	Of job.Owner `cbor:"3,keyasint"`
 }
 
@@ -106,7 +106,7 @@
 	For   job.EntryID   `cbor:"1,keyasint"`
 	Base  []job.EntryID `cbor:"2,keyasint"`
 	Shard int           `cbor:"3,keyasint"`
-	// Done marks an announcement in place of a question: For has synced for the
+	// Done marks an announcement instead of a request: For has synced for the
 	// live entries whose digest is Set.
 	Done bool   `cbor:"4,keyasint,omitempty"`
 	Set  uint64 `cbor:"5,keyasint,omitempty"`
--- a/internal/registrar/owned.go
+++ b/internal/registrar/owned.go
@@ -94,8 +94,8 @@
 }
 
 // answerYield answers the yield request of another entry that found this one in a
-// record. It never yields a claim of different content: its callers would receive
-// the answer of a job that they did not send.
+// record. It never yields to a claim with different content: this entry's callers
+// would receive the answer of a job that they did not send.
 func (o *ownerTable) answerYield(by job.Owner, req *yieldRequest) yieldReply {
 	if sub := o.submissions[req.ID]; sub != nil && sub.digest != req.Digest {
 		return yieldReply{Verdict: yieldRefused}
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -244,8 +244,8 @@
 }
 
 // answerClaim answers a claim as a registrar. It determines the certainty before
-// it looks up the record: if a sync completed between a lookup and a later
-// reading of the certainty, an outdated "not found" would count as current.
+// it looks up the record. In the reverse order, a sync could complete in between,
+// and an outdated "not found" would count as current.
 func (r *Registrar) answerClaim(req *claimRequest) *claimReply {
 	now := time.Now()
 	r.mu.Lock()
