--- a/internal/api/stop.go
+++ b/internal/api/stop.go
@@ -370,8 +370,8 @@
 	}
 }
 
-// CloseWhileDraining adds "Connection: close" to each answer written while draining reports true,
-// so that callers reconnect to an entry that still serves.
+// CloseWhileDraining adds "Connection: close" to each answer that is written while
+// draining reports true, so that callers reconnect to an entry that still serves.
 func CloseWhileDraining(next http.Handler, draining func() bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		next.ServeHTTP(&closingWriter{ResponseWriter: w, draining: draining}, r)
--- a/internal/api/wire.go
+++ b/internal/api/wire.go
@@ -164,5 +164,5 @@
 	_, _ = w.Write(encoded)
 }
 
-// retryAfterUnit is the unit of the Retry-After header.
+// retryAfterUnit is the unit of the Retry-After header, which holds whole seconds.
 const retryAfterUnit = time.Second
--- a/internal/peer/demand.go
+++ b/internal/peer/demand.go
@@ -16,12 +16,14 @@
 // when they have been idle for a while.
 
 const (
-	// demandPeriod is how long a link that was opened on demand is kept open.
+	// demandPeriod is how long a link that was opened on demand stays open while it
+	// is idle.
 	demandPeriod = 20 * time.Second
 	// linkOpenTimeout is how long a call waits for a link to be opened: a few round trips
 	// plus a pause of a busy VM.
 	linkOpenTimeout = 300 * time.Millisecond
-	// failureBackoff is how long calls fail immediately after a link could not be opened.
+	// failureBackoff is how long calls fail without waiting, counted from the last time
+	// that the link could not be opened.
 	failureBackoff = time.Second
 )
 
@@ -29,8 +31,8 @@
 // has to dial.
 const errWillDialBack = errors.ConstError("peer: dialled back")
 
-// SetPersistent sets the entries to which links are kept open permanently; nil means all. Links to
-// other entries are opened on demand.
+// SetPersistent sets the entries to which links are kept open permanently; nil means all.
+// Links to other entries are opened on demand.
 func (l *Links) SetPersistent(ids []job.EntryID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -23,8 +23,8 @@
 	// probePeriod is how often an entry that waits to be dialled probes whether
 	// the processes of its peers are running, and maxProbes is the number of
 	// randomly chosen peers per period. When a large fleet starts, each entry
-	// waits for hundreds of others. Probing all of them four times a second left
-	// no processor time for the links themselves.
+	// waits for hundreds of others. Probing all of them four times a second would
+	// leave no processor time for the links themselves.
 	probePeriod = 250 * time.Millisecond
 	maxProbes   = 16
 	// maxDials bounds the links that one entry opens concurrently. Hundreds of
@@ -80,7 +80,8 @@
 }
 
 // checkLink closes a link that is unresponsive or no longer needed. Only the dialling
-// side closes unneeded links. It learns from frames on the link that the other side needs it.
+// side closes unneeded links. Frames on the link show it that the other side still needs
+// the link.
 func (l *Links) checkLink(ctx context.Context, now time.Time, r *remote, k *link) {
 	switch {
 	case k.unresponsive(now, l.opts.Silence):
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -11,7 +11,8 @@
 	// encoding overhead. Without a limit, one peer could fill this entry's memory.
 	MaxFrame = 32 << 20
 	// maxMessageBytes is the size limit of a WebSocket message. Frames are
-	// coalesced up to coalesceBytes, and a single frame may be larger.
+	// coalesced up to coalesceBytes, and a single frame may have MaxFrame bytes. The
+	// sum also covers a frame of that size after shorter ones.
 	maxMessageBytes = MaxFrame + coalesceBytes
 	// coalesceBytes is the size up to which frames are coalesced into one write.
 	// At peak load, many frames of a few hundred bytes are queued at once, and a
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -424,7 +424,8 @@
 }
 
 // keepaliveWhileHandling sends keepalives to a peer that waits for an answer, until the
-// returned function is called. It skips them while other frames are being written.
+// returned function is called. It sends none if another write has taken place within
+// workingInterval.
 func (l *link) keepaliveWhileHandling() (end func()) {
 	var mu sync.Mutex
 	ended := false
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -87,8 +87,8 @@
 	log    *slog.Logger
 	stats  counters
 	client *http.Client
-	// handshakes counts the accepted connections whose handshake is in progress,
-	// opened the links that have come up.
+	// handshakes counts the accepted connections whose handshake is in progress, and
+	// opened counts the links that have come up.
 	handshakes atomic.Int64
 	opened     atomic.Uint64
 	// dials holds a token for each link that is being opened.
@@ -99,7 +99,8 @@
 	handlers map[Kind]Handler
 	ordered  map[Kind]bool
 	closed   bool
-	// demandPeriod is how long a link that was opened on demand is kept open.
+	// demandPeriod is how long a link that was opened on demand stays open while it
+	// is idle.
 	demandPeriod time.Duration
 	// startLoop starts the goroutines that maintain a link; nil before Run.
 	startLoop func(*remote)
--- a/internal/timeline/explain.go
+++ b/internal/timeline/explain.go
@@ -216,8 +216,8 @@
 	return false
 }
 
-// summary returns the sentence of a sum for its first event, and an empty string for
-// the others.
+// summary returns the sentence that stands for all events summarised with ev if ev is
+// the first of them, and an empty string otherwise.
 func (s *taskSums) summary(ev *Event) string {
 	sum := s.sums[keyOf(ev)]
 	if sum.reported {
