--- a/cmd/vanillagrade/capacity.go
+++ b/cmd/vanillagrade/capacity.go
@@ -28,7 +28,7 @@
 	overrideIfGiven(&size.Starts, c.Starts)
 	overrideIfGiven(&size.TasksPerJob, c.TasksPerJob)
 	overrideIfGiven(&size.Changes, c.Changes)
-	slopes, err := capacity.Measure(capacity.Platform{Orders: platform.NewClient(nil).Worker, FakeWorker: platform.FakeWorker})
+	slopes, err := capacity.Measure(capacity.Platform{WorkerClient: platform.NewClient(nil).Worker, FakeWorker: platform.FakeWorker})
 	if err != nil {
 		return fail(stderr, exitFailed, err)
 	}
--- a/cmd/vanillagrade/demo.go
+++ b/cmd/vanillagrade/demo.go
@@ -84,7 +84,7 @@
 		return errors.Errorf("the job was not completed: %s", answer)
 	}
 	fmt.Fprintf(stdout, "answer after %v: %s\n", time.Since(began).Round(time.Millisecond), answer)
-	fmt.Fprintf(stdout, "starts at targets: %d, doubled: %d\n", f.Ledger.Starts(), f.Ledger.DoubledStarts())
+	fmt.Fprintf(stdout, "starts at targets: %d, doubled: %d\n", f.Starts.Starts(), f.Starts.DoubledStarts())
 	return nil
 }
 
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -30,7 +30,7 @@
 // page, which are then too low.
 func TestMeasurements(t *testing.T) {
 	m := &Slopes{}
-	for _, part := range Parts(Platform{Orders: platform.NewClient(nil).Worker, FakeWorker: platform.FakeWorker}) {
+	for _, part := range Parts(Platform{WorkerClient: platform.NewClient(nil).Worker, FakeWorker: platform.FakeWorker}) {
 		qt.Assert(t, part(m, time.Millisecond), qt.IsNil)
 	}
 	for _, p := range m.Points {
--- a/internal/capacity/discovery.go
+++ b/internal/capacity/discovery.go
@@ -59,7 +59,7 @@
 	address := l.Addr().String()
 	joiner := func(self job.EntryID, at string) *discovery.Joiner {
 		return discovery.New(discovery.Options{
-			Book: newDirectory(self, at, entries), Mesh: network.Join(job.Owner{Entry: self, Incarnation: 1, Zone: "z"}),
+			Directory: newDirectory(self, at, entries), Mesh: network.Join(job.Owner{Entry: self, Incarnation: 1, Zone: "z"}),
 			Seeds: func() []string { return nil }, OnNews: func([]discovery.Record) {},
 		})
 	}
--- a/internal/capacity/leases.go
+++ b/internal/capacity/leases.go
@@ -16,7 +16,7 @@
 
 // Platform provides a client for, and a fake of, targets that run tasks under a lease.
 type Platform struct {
-	Orders func(job.Target) runs.TargetClient
+	WorkerClient func(job.Target) runs.TargetClient
 	// FakeWorker returns a handler that answers like a target with the given number of
 	// running tasks.
 	FakeWorker func(runs int) (http.Handler, error)
@@ -99,7 +99,7 @@
 	defer stop()
 	t := newTarget(0)
 	t.Address = l.Addr().String()
-	client := p.Orders(t)
+	client := p.WorkerClient(t)
 	defer client.Close()
 	count := 0
 	var lastErr error
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -63,15 +63,15 @@
 	b.join(ctx, seeds[0])
 	c.join(ctx, seeds[0])
 	for _, forgets := range [][2]job.EntryID{{"a", "b"}, {"c", "b"}, {"b", "a"}, {"b", "c"}} {
-		entries[forgets[0]].opts.Book.Forget(time.Now(), forgets[1])
+		entries[forgets[0]].opts.Directory.Forget(time.Now(), forgets[1])
 	}
 	b.join(ctx, seeds[0])
 	deadline := time.Now().Add(5 * time.Second)
 	for _, e := range entries {
-		for len(e.opts.Book.All()) < len(entries) && time.Now().Before(deadline) {
+		for len(e.opts.Directory.All()) < len(entries) && time.Now().Before(deadline) {
 			time.Sleep(10 * time.Millisecond)
 		}
-		qt.Check(t, e.opts.Book.All(), qt.HasLen, len(entries), qt.Commentf("%s", e.opts.Book.self.Owner.Entry))
+		qt.Check(t, e.opts.Directory.All(), qt.HasLen, len(entries), qt.Commentf("%s", e.opts.Directory.self.Owner.Entry))
 	}
 }
 
@@ -86,7 +86,7 @@
 	e := &entry{server: httptest.NewUnstartedServer(nil)}
 	self := record(name, 1, e.server.Listener.Addr().String())
 	e.Joiner = New(Options{
-		Book: NewDirectory(self), Mesh: mesh.Join(self.Owner), Seeds: seeds, Secret: []byte(secret), OnNews: func([]Record) {},
+		Directory: NewDirectory(self), Mesh: mesh.Join(self.Owner), Seeds: seeds, Secret: []byte(secret), OnNews: func([]Record) {},
 	})
 	mux := http.NewServeMux()
 	mux.Handle("POST "+peer.JoinPath, e.Joiner)
@@ -115,10 +115,10 @@
 	}
 	deadline := time.Now().Add(20 * time.Second)
 	for _, e := range entries {
-		for len(e.opts.Book.All()) < len(entries) && time.Now().Before(deadline) {
+		for len(e.opts.Directory.All()) < len(entries) && time.Now().Before(deadline) {
 			time.Sleep(10 * time.Millisecond)
 		}
-		qt.Check(t, e.opts.Book.All(), qt.HasLen, len(entries))
+		qt.Check(t, e.opts.Directory.All(), qt.HasLen, len(entries))
 	}
 	cancel()
 	wg.Wait()
@@ -169,8 +169,8 @@
 	a.server.Start()
 	defer a.server.Close()
 	b.join(t.Context(), a.server.Listener.Addr().String())
-	qt.Assert(t, a.opts.Book.All(), qt.HasLen, 1)
-	qt.Assert(t, b.opts.Book.All(), qt.HasLen, 1)
+	qt.Assert(t, a.opts.Directory.All(), qt.HasLen, 1)
+	qt.Assert(t, b.opts.Directory.All(), qt.HasLen, 1)
 }
 
 // A VM restarts after its time of day jumped back by seconds. The seeds know its last
@@ -202,7 +202,7 @@
 			name := job.EntryID(fmt.Sprintf("e-%03d", i))
 			self := record(name, 1, fmt.Sprintf("10.0.0.%d:1", i))
 			j := New(Options{
-				Book: NewDirectory(self), Mesh: mesh.Join(self.Owner), OnNews: func([]Record) {},
+				Directory: NewDirectory(self), Mesh: mesh.Join(self.Owner), OnNews: func([]Record) {},
 				Seeds: func() []string { return nil },
 			})
 			joiners = append(joiners, j)
@@ -211,25 +211,25 @@
 		// All entries know each other, and the first one learns of a new one.
 		var all []Record
 		for _, j := range joiners {
-			all = append(all, j.opts.Book.self)
+			all = append(all, j.opts.Directory.self)
 		}
 		for _, j := range joiners {
-			j.opts.Book.Learn(time.Now(), all...)
+			j.opts.Directory.Learn(time.Now(), all...)
 		}
 		before := mesh.Sent(peer.MemberNews)
 		joiners[0].Learn(record("late", 1, "10.0.9.9:1"))
 		time.Sleep(time.Second)
 		synctest.Wait()
 		for _, j := range joiners {
-			_, known := j.opts.Book.Get("late")
-			qt.Assert(t, known, qt.IsTrue, qt.Commentf("%s", j.opts.Book.self.Owner.Entry))
+			_, known := j.opts.Directory.Get("late")
+			qt.Assert(t, known, qt.IsTrue, qt.Commentf("%s", j.opts.Directory.self.Owner.Entry))
 		}
 		sent := mesh.Sent(peer.MemberNews) - before
 		qt.Assert(t, sent <= entries*limit, qt.IsTrue, qt.Commentf("%d messages", sent))
 		cancel()
 		wg.Wait()
 		for _, j := range joiners {
-			mesh.Crash(j.opts.Book.self.Owner.Entry)
+			mesh.Crash(j.opts.Directory.self.Owner.Entry)
 		}
 	})
 }
--- a/internal/discovery/join.go
+++ b/internal/discovery/join.go
@@ -52,8 +52,8 @@
 
 // Options configures a Joiner.
 type Options struct {
-	Book *Directory
-	Mesh peer.Mesh
+	Directory *Directory
+	Mesh      peer.Mesh
 	// Seeds returns the addresses of the seeds; they may change.
 	Seeds func() []string
 	// Secret signs joins and their answers; empty on a trusted network.
@@ -113,7 +113,7 @@
 // Learn adds records, whichever message carried them, and forwards the new ones.
 func (j *Joiner) Learn(records ...Record) {
 	j.reportEnded(records)
-	learned := j.opts.Book.Learn(time.Now(), records...)
+	learned := j.opts.Directory.Learn(time.Now(), records...)
 	if len(learned) == 0 {
 		return
 	}
@@ -135,7 +135,7 @@
 func (j *Joiner) reportEnded(records []Record) {
 	var ended []Record
 	for _, r := range records {
-		known, ok := j.opts.Book.Get(r.Owner.Entry)
+		known, ok := j.opts.Directory.Get(r.Owner.Entry)
 		if r.Ended && ok && known.Owner.Incarnation == r.Owner.Incarnation {
 			ended = append(ended, r)
 		}
@@ -180,7 +180,7 @@
 }
 
 // knowsNoOther reports whether no other entry is known.
-func (j *Joiner) knowsNoOther() bool { return len(j.opts.Book.All()) == 1 }
+func (j *Joiner) knowsNoOther() bool { return len(j.opts.Directory.All()) == 1 }
 
 // joinSeeds contacts all seeds in parallel and waits for none: each may be down. A seed
 // without power drops the first packet, and the kernel resends it only a second later, so
@@ -196,14 +196,14 @@
 }
 
 func (j *Joiner) isSelf(address string) bool {
-	self, _ := j.opts.Book.Get(j.opts.Mesh.Self().Entry)
+	self, _ := j.opts.Directory.Get(j.opts.Mesh.Self().Entry)
 	return self.Address == address
 }
 
 // exchangeWithRandom exchanges records with a random seed or known entry.
 func (j *Joiner) exchangeWithRandom(ctx context.Context) {
 	addresses := j.opts.Seeds()
-	for _, r := range j.opts.Book.All() {
+	for _, r := range j.opts.Directory.All() {
 		addresses = append(addresses, r.Address)
 	}
 	address := addresses[rand.N(len(addresses))]
@@ -219,7 +219,7 @@
 // incarnation. Only that mark allows an entry that was forgotten during a long partition to be
 // added again.
 func (j *Joiner) recordsToSend() []Record {
-	records := j.opts.Book.All()
+	records := j.opts.Directory.All()
 	for i := range records {
 		r := &records[i]
 		if r.Owner.Entry == j.opts.Mesh.Self().Entry {
@@ -244,7 +244,7 @@
 // full lists only if the digests differ.
 func (j *Joiner) join(ctx context.Context, address string) {
 	digest := j.digest()
-	self, _ := j.opts.Book.Get(j.opts.Mesh.Self().Entry)
+	self, _ := j.opts.Directory.Get(j.opts.Mesh.Self().Entry)
 	self.Heard = true
 	answer, err := j.post(ctx, address, exchange{Records: []Record{self}, Digest: digest})
 	if err != nil {
@@ -430,7 +430,7 @@
 		return j.opts.Near()
 	}
 	var others []job.EntryID
-	for _, r := range j.opts.Book.All() {
+	for _, r := range j.opts.Directory.All() {
 		if r.Owner.Entry != j.opts.Mesh.Self().Entry {
 			others = append(others, r.Owner.Entry)
 		}
--- a/internal/entry/claim.go
+++ b/internal/entry/claim.go
@@ -33,8 +33,8 @@
 	return a, ok
 }
 
-// findTimeout bounds the search for the driver of a kept submission. It does not limit
-// the time until the answer: once the driver is found, the entry waits for its answer.
+// findTimeout bounds the search for the owner of a kept submission. It does not limit
+// the time until the answer: once the owner is found, the entry waits for its answer.
 const findTimeout = 2 * time.Second
 
 // keptAnswer returns the answer of a submission from this entry's keeper.
--- a/internal/entry/discover.go
+++ b/internal/entry/discover.go
@@ -59,7 +59,7 @@
 		seeds = func() []string { return e.opts.Settings.Seeds }
 	}
 	e.joiner = discovery.New(discovery.Options{
-		Book: e.discovered, Mesh: e.links, Seeds: seeds, Secret: e.opts.Settings.PeerSecret, Tell: e.fillLiveness,
+		Directory: e.discovered, Mesh: e.links, Seeds: seeds, Secret: e.opts.Settings.PeerSecret, Tell: e.fillLiveness,
 		OnNews: e.addDiscovered, OnEnded: e.addEnded, Log: e.log,
 		Near:   func() []job.EntryID { return e.members.Neighbours() },
 		Digest: func() uint64 { return e.members.Digest() },
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -46,8 +46,8 @@
 	Log       *slog.Logger
 	// Scheduler disables single decisions, for measurements.
 	Scheduler scheduler.Options
-	// Events is the size of the timeline's ring buffer; zero means the default. A
-	// negative number disables the timeline, for measurements.
+	// Events is the size of the time line's ring buffer; zero means the default. A
+	// negative number disables the time line, for measurements.
 	Events int
 	// Config, when set, replaces the configuration that the entries agree on; the
 	// load tool uses it.
@@ -67,9 +67,9 @@
 	Parse func(name string, body []byte) (*config.File, error)
 	// Malformed counts unusable input from others; nil creates a new tally.
 	Malformed *malformed.Tally
-	// Orders, when set, returns the client for a target that runs tasks under a lease,
-	// in place of the targets' HTTP interface.
-	Orders func(job.Target) runs.TargetClient
+	// NewTargetClient, when set, creates the client for a target that runs tasks under a
+	// lease, in place of the targets' HTTP interface.
+	NewTargetClient func(job.Target) runs.TargetClient
 	// Lease is the longest lease that such a target grants; zero means the default.
 	Lease time.Duration
 	// Suspended returns the total time for which the VM was suspended so far; nil means
@@ -273,7 +273,7 @@
 	})
 	e.holders = newHolders(e.self, e.holder, e.remote, e.members)
 	e.targets = newTargets(e)
-	if e.opts.Settings.Discover && e.opts.Orders != nil {
+	if e.opts.Settings.Discover && e.opts.NewTargetClient != nil {
 		e.inventory = newTargetInventory(e.targets, e.store)
 		e.targets.inventory = e.inventory
 		if e.store != nil {
@@ -433,5 +433,5 @@
 // Load returns the load of the pool's targets that this entry holds.
 func (e *Entry) Load(pool string) job.HolderLoad { return e.holder.Load(pool) }
 
-// DrivenSubmissions returns how many submissions this entry drives.
+// DrivenSubmissions returns how many submissions this entry owns.
 func (e *Entry) DrivenSubmissions() int { return e.join.OwnedCount() }
--- a/internal/entry/keep.go
+++ b/internal/entry/keep.go
@@ -122,7 +122,7 @@
 // joinedCallerAttempt reports whether a driven submission was joined to a caller's own
 // attempt in this entry and received the answer of that attempt, "its owner is lost".
 // The submission was not driven in that case, so the caller of this function must try
-// again. Otherwise no entry would drive it, and its callers would be refused forever.
+// again. Otherwise no entry would own it, and its callers would be refused forever.
 func joinedCallerAttempt(a job.Answer) bool {
 	return a.Outcome == job.Refused && a.Reason == job.OwnerLost
 }
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -9,15 +9,15 @@
 )
 
 // connector returns a function that connects to targets that run tasks under a lease. It
-// returns nil without Options.Orders: the holder then uses the targets' HTTP interface.
+// returns nil without Options.NewTargetClient: the holder then uses the targets' HTTP interface.
 func (e *Entry) connector() func(job.Target) holder.Connection {
-	if e.opts.Orders == nil {
+	if e.opts.NewTargetClient == nil {
 		return nil
 	}
 	salt := uint16(xxhash.Sum64String(string(e.self.Entry)))
 	return func(t job.Target) holder.Connection {
 		return runs.NewSession(runs.Options{
-			Orders:  e.opts.Orders(t),
+			Client:  e.opts.NewTargetClient(t),
 			Target:  t.ID,
 			Salt:    salt,
 			Lease:   e.opts.Lease,
--- a/internal/entry/search.go
+++ b/internal/entry/search.go
@@ -19,7 +19,7 @@
 const errUnknownSubmission = errors.ConstError("this entry does not have the submission")
 
 // serveSearches lets callers of other entries query and cancel submissions that
-// this one drives.
+// this one owns.
 func (e *Entry) serveSearches() {
 	e.links.Handle(peer.SubmissionPoll, func(_ context.Context, _ job.Owner, body cbor.RawMessage) (any, error) {
 		var id job.ID
@@ -69,7 +69,7 @@
 	}, true
 }
 
-// Cancel implements api.Dispatcher: the entry that drives the submission cancels it,
+// Cancel implements api.Dispatcher: the entry that owns the submission cancels it,
 // whichever entry receives the request.
 func (e *Entry) Cancel(ctx context.Context, id job.ID) bool {
 	if e.join.CancelOwned(id) {
--- a/internal/entry/shared.go
+++ b/internal/entry/shared.go
@@ -10,7 +10,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// assembleShared creates the parts that entries share: links, configuration, timeline.
+// assembleShared creates the parts that entries share: links, configuration, time line.
 func (e *Entry) assembleShared() error {
 	s := &e.opts.Settings
 	var peers []peer.Peer
--- a/internal/entry/targets.go
+++ b/internal/entry/targets.go
@@ -86,12 +86,12 @@
 		events:        e.events,
 		log:           e.log,
 		malformed:     e.opts.Malformed,
-		isListening:   newListenCheck(e.opts.Orders),
+		isListening:   newListenCheck(e.opts.NewTargetClient),
 		announcements: map[job.TargetID]announcement{},
 		transfers:     map[job.TargetID]job.EntryID{},
 		yielded:       map[job.TargetID]time.Time{},
 
-		exclusive: e.opts.Orders != nil,
+		exclusive: e.opts.NewTargetClient != nil,
 		started:   e.started,
 	}
 	t.forward = handover.NewTargets(e.links, t.holderOf, localTargets{t})
--- a/internal/fleet/broken_target_test.go
+++ b/internal/fleet/broken_target_test.go
@@ -82,7 +82,7 @@
 				} else {
 					failed++
 					for task := range n {
-						qt.Check(t, r.other.Run == "not run" && f.Ledger.Started(job.ID(id), task), qt.IsFalse, qt.Commentf("%+v", r.other))
+						qt.Check(t, r.other.Run == "not run" && f.Starts.Started(job.ID(id), task), qt.IsFalse, qt.Commentf("%+v", r.other))
 					}
 				}
 				mu.Unlock()
@@ -92,6 +92,6 @@
 	callers.Wait()
 	qt.Check(t, complete > 0, qt.IsTrue)
 	qt.Check(t, failed > 0, qt.IsTrue)
-	qt.Check(t, f.Ledger.DoubledStarts(), qt.Equals, uint64(0))
+	qt.Check(t, f.Starts.DoubledStarts(), qt.Equals, uint64(0))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
--- a/internal/fleet/cancel_test.go
+++ b/internal/fleet/cancel_test.go
@@ -39,11 +39,11 @@
 		qt.Assert(t, response.StatusCode, qt.Equals, http.StatusAccepted)
 	}
 	wg.Wait()
-	started := f.Ledger.Starts()
+	started := f.Starts.Starts()
 	r, err := send(http.DefaultClient, addresses[0], jobBody("after", "thumbs", 8, 1))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, r.status, qt.Equals, http.StatusOK, qt.Commentf("%+v", r.other))
-	qt.Assert(t, f.Ledger.Starts(), qt.Equals, started+8)
+	qt.Assert(t, f.Starts.Starts(), qt.Equals, started+8)
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
--- a/internal/fleet/chaos_test.go
+++ b/internal/fleet/chaos_test.go
@@ -78,9 +78,9 @@
 	close(stop)
 	wg.Wait()
 	t.Logf("%v", sums.counts)
-	t.Logf("%d starts", f.Ledger.Starts())
+	t.Logf("%d starts", f.Starts.Starts())
 	qt.Assert(t, sums.violations, qt.HasLen, 0)
-	qt.Assert(t, f.Ledger.DoubledStarts(), qt.Equals, uint64(0))
+	qt.Assert(t, f.Starts.DoubledStarts(), qt.Equals, uint64(0))
 }
 
 // sendUntilKnown sends one job until its result is known or all attempts are
@@ -120,7 +120,7 @@
 
 func (f *Fleet) checkNotRun(id string, tasks int, sums *tally) {
 	for k := range tasks {
-		if f.Ledger.Started(job.ID(id), k) {
+		if f.Starts.Started(job.ID(id), k) {
 			sums.addViolation("%s: task %d was started but reported as not run", id, k)
 		}
 	}
--- a/internal/fleet/drain_test.go
+++ b/internal/fleet/drain_test.go
@@ -37,13 +37,13 @@
 				})
 			}
 			f.waitRunning(jobs)
-			for f.Ledger.Starts() == 0 {
+			for f.Starts.Starts() == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			qt.Assert(t, f.StopEntry(holder.name), qt.IsNil)
 			wg.Wait()
-			qt.Assert(t, f.Ledger.Starts(), qt.Equals, uint64(8*jobs))
-			qt.Assert(t, f.Ledger.DoubledStarts(), qt.Equals, uint64(0))
+			qt.Assert(t, f.Starts.Starts(), qt.Equals, uint64(8*jobs))
+			qt.Assert(t, f.Starts.DoubledStarts(), qt.Equals, uint64(0))
 			qt.Assert(t, f.Stop(), qt.IsNil)
 		})
 	}
--- a/internal/fleet/fault_test.go
+++ b/internal/fleet/fault_test.go
@@ -142,7 +142,7 @@
 		qt.Check(t, r.other.Run, qt.Equals, "not run", qt.Commentf("%s: %+v", id, r.other))
 	}
 	qt.Assert(t, completed > 20, qt.IsTrue)
-	qt.Assert(t, f.Ledger.DoubledStarts(), qt.Equals, uint64(0))
+	qt.Assert(t, f.Starts.DoubledStarts(), qt.Equals, uint64(0))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
@@ -170,7 +170,7 @@
 		}
 		qt.Check(t, r.other.Reason != "", qt.IsTrue)
 	}
-	qt.Assert(t, f.Ledger.DoubledStarts(), qt.Equals, uint64(0))
+	qt.Assert(t, f.Starts.DoubledStarts(), qt.Equals, uint64(0))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
@@ -190,6 +190,6 @@
 	f.SetZonePartitioned("a", false)
 	ctx := t.Context()
 	qt.Assert(t, f.WaitReady(ctx, 6*8), qt.IsNil)
-	qt.Assert(t, f.Ledger.DoubledStarts(), qt.Equals, uint64(0))
+	qt.Assert(t, f.Starts.DoubledStarts(), qt.Equals, uint64(0))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -42,7 +42,7 @@
 	ModifyTarget func(index int, o *standin.Options)
 	// Scheduler can switch off single scheduling decisions, for measurements.
 	Scheduler scheduler.Options
-	// Events bounds each entry's timeline; see entry.Options.
+	// Events bounds each entry's time line; see entry.Options.
 	Events int
 	// File is a declarative configuration file that is applied at the start. The
 	// first entries of up to three zones vote on it.
@@ -66,8 +66,8 @@
 type Fleet struct {
 	opts      Options
 	removeDir bool
-	// Ledger records the task starts at all targets.
-	Ledger  *standin.StartTracker
+	// Starts records the task starts at all targets.
+	Starts  *standin.StartTracker
 	links   map[linkEnds]*link
 	entries []*member
 	targets []*runningTarget
@@ -116,7 +116,7 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	f := &Fleet{opts: o, Ledger: standin.NewStartTracker()}
+	f := &Fleet{opts: o, Starts: standin.NewStartTracker()}
 	if err := f.makeDir(); err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -341,7 +341,7 @@
 	o.Zone = zone
 	o.Rack = fmt.Sprintf("%s-r%d", zone, i/max(1, f.opts.TargetsPerRack))
 	o.Entries = f.CallerAddresses(zone)
-	o.Starts = f.Ledger
+	o.Starts = f.Starts
 	o.Log = f.opts.Log
 	if f.opts.ModifyTarget != nil {
 		f.opts.ModifyTarget(index, &o)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -148,7 +148,7 @@
 	qt.Assert(t, f.Stop(), qt.IsNil)
 	wg.Wait()
 	qt.Assert(t, completed > 0, qt.IsTrue)
-	qt.Assert(t, f.Ledger.DoubledStarts(), qt.Equals, uint64(0))
+	qt.Assert(t, f.Starts.DoubledStarts(), qt.Equals, uint64(0))
 }
 
 // A target's VM loses power while it runs tasks. Jobs with a task on the target
@@ -167,7 +167,7 @@
 			qt.Check(t, err, qt.IsNil)
 		})
 	}
-	for f.Ledger.Starts() < jobs {
+	for f.Starts.Starts() < jobs {
 		time.Sleep(time.Millisecond)
 	}
 	qt.Assert(t, f.targets[0].Kill(), qt.IsNil)
@@ -183,17 +183,17 @@
 		qt.Check(t, r.other.Run, qt.Equals, "may have run")
 	}
 	qt.Assert(t, failed > 0, qt.IsTrue)
-	qt.Assert(t, f.Ledger.DoubledStarts(), qt.Equals, uint64(0))
+	qt.Assert(t, f.Starts.DoubledStarts(), qt.Equals, uint64(0))
 	_ = f.Stop()
 }
 
 // An operator drains a target while it runs tasks. These tasks must end with
 // their results, and no task may be started on the target after its withdrawal.
 func TestDrainingTargetFinishesAndStartsNothing(t *testing.T) {
-	ledgers := map[int]*standin.StartTracker{}
+	trackers := map[int]*standin.StartTracker{}
 	f := startTest(t, Options{Zones: []job.Zone{"a"}, EntriesPerZone: 1, TargetsPerZone: 2, ModifyTarget: func(i int, o *standin.Options) {
-		ledgers[i] = standin.NewStartTracker()
-		o.Starts = ledgers[i]
+		trackers[i] = standin.NewStartTracker()
+		o.Starts = trackers[i]
 	}})
 	address := f.CallerAddresses("")[0]
 	done := make(chan *reply)
@@ -202,7 +202,7 @@
 		qt.Check(t, err, qt.IsNil)
 		done <- r
 	}()
-	for ledgers[0].Starts() == 0 {
+	for trackers[0].Starts() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	leaving := f.targets[0]
@@ -210,13 +210,13 @@
 	r := <-done
 	qt.Assert(t, r.status, qt.Equals, http.StatusOK)
 	<-leaving.done
-	before := ledgers[0].Starts()
+	before := trackers[0].Starts()
 	for i := range 4 {
 		r, err := send(http.DefaultClient, address, jobBody(fmt.Sprintf("after-%d", i), "alerts", 4, 1))
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, r.status, qt.Equals, http.StatusOK)
 	}
-	qt.Assert(t, ledgers[0].Starts(), qt.Equals, before)
+	qt.Assert(t, trackers[0].Starts(), qt.Equals, before)
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
--- a/internal/fleet/keep_test.go
+++ b/internal/fleet/keep_test.go
@@ -62,7 +62,7 @@
 	r := resendUntilAnswered(t, other.listen.Caller.Addr().String(), body)
 	qt.Assert(t, r.status, qt.Equals, http.StatusOK, qt.Commentf("%+v", r.other))
 	qt.Assert(t, whole(r, "forecast", 4), qt.IsTrue)
-	qt.Assert(t, f.Ledger.Starts(), qt.Equals, uint64(4))
+	qt.Assert(t, f.Starts.Starts(), qt.Equals, uint64(4))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
@@ -82,7 +82,7 @@
 		qt.Assert(t, r.status, qt.Equals, http.StatusOK, qt.Commentf("%+v", r.other))
 		qt.Assert(t, whole(r, "copy", 4), qt.IsTrue)
 	}
-	qt.Assert(t, f.Ledger.Starts(), qt.Equals, uint64(4))
+	qt.Assert(t, f.Starts.Starts(), qt.Equals, uint64(4))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
@@ -100,6 +100,6 @@
 	r := resendUntilAnswered(t, address, body)
 	qt.Assert(t, r.other.Outcome, qt.Equals, job.Failed)
 	qt.Assert(t, r.other.Run, qt.Equals, "may have run")
-	qt.Assert(t, f.Ledger.Starts(), qt.Equals, uint64(4))
+	qt.Assert(t, f.Starts.Starts(), qt.Equals, uint64(4))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
--- a/internal/fleet/resubmit_test.go
+++ b/internal/fleet/resubmit_test.go
@@ -30,7 +30,7 @@
 	for i, address := range addresses {
 		wg.Go(func() {
 			if i > 0 {
-				for f.Ledger.Starts() == 0 {
+				for f.Starts.Starts() == 0 {
 					time.Sleep(time.Millisecond)
 				}
 			}
@@ -51,7 +51,7 @@
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, r.other.Reason, qt.Equals, job.IDReused)
 	}
-	qt.Assert(t, f.Ledger.Starts(), qt.Equals, uint64(3))
+	qt.Assert(t, f.Starts.Starts(), qt.Equals, uint64(3))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
@@ -75,7 +75,7 @@
 		}
 	}
 	wg.Wait()
-	qt.Assert(t, f.Ledger.Starts(), qt.Equals, uint64(2*jobs))
+	qt.Assert(t, f.Starts.Starts(), qt.Equals, uint64(2*jobs))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
@@ -97,7 +97,7 @@
 		qt.Assert(t, r.status, qt.Equals, http.StatusOK, qt.Commentf("%+v", r.other))
 		qt.Assert(t, whole(r, "orphan", 4), qt.IsTrue)
 	}
-	qt.Assert(t, f.Ledger.Starts(), qt.Equals, uint64(4))
+	qt.Assert(t, f.Starts.Starts(), qt.Equals, uint64(4))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
@@ -112,10 +112,10 @@
 		r, err := send(http.DefaultClient, address, body)
 		early <- fmt.Sprintf("%+v, %v", r, err)
 	}()
-	for f.Ledger.Starts() < tasks {
+	for f.Starts.Starts() < tasks {
 		select {
 		case answer := <-early:
-			t.Fatalf("%d of %d tasks had started when the answer came: %s", f.Ledger.Starts(), tasks, answer)
+			t.Fatalf("%d of %d tasks had started when the answer came: %s", f.Starts.Starts(), tasks, answer)
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -151,7 +151,7 @@
 	r, err = send(http.DefaultClient, addresses[0], jobBody("fresh", "alerts", 1, 5))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, r.status, qt.Equals, http.StatusOK)
-	qt.Assert(t, f.Ledger.Starts(), qt.Equals, uint64(2))
+	qt.Assert(t, f.Starts.Starts(), qt.Equals, uint64(2))
 	qt.Assert(t, f.Stop(), qt.IsNil)
 }
 
--- a/internal/handover/serve.go
+++ b/internal/handover/serve.go
@@ -251,7 +251,7 @@
 }
 
 // report accepts the holder's outcomes. It records the event before the outcomes become
-// available: otherwise the timeline could show the owner's answer before its cause.
+// available: otherwise the time line could show the owner's answer before its cause.
 func (s *Server) report(rec *record, outcomes []job.TaskOutcome) {
 	if !s.markReported(rec) {
 		return
--- a/internal/holder/holder.go
+++ b/internal/holder/holder.go
@@ -38,7 +38,9 @@
 	Self   job.Owner
 	Config config.View
 	Client *target.Client
-	// Connect replaces Client in tests.
+	// Connect, if not nil, opens the connections to targets in place of Client. The package
+	// entry sets it where a client for targets that run tasks under a lease is configured;
+	// tests set it to fakes.
 	Connect func(job.Target) Connection
 	Events  timeline.Sink
 	Log     *slog.Logger
--- a/internal/membership/heartbeat.go
+++ b/internal/membership/heartbeat.go
@@ -229,7 +229,7 @@
 	return out[:min(len(out), maxRelayedHolders)]
 }
 
-// reportChanges logs changes and records them in the timeline.
+// reportChanges logs changes and records them in the time line.
 func (m *Membership) reportChanges(changes []Change) {
 	for _, c := range changes {
 		m.opts.Log.Info("member", "peer", c.After.Entry, "incarnation", c.After.Incarnation,
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -22,7 +22,7 @@
 	Left
 )
 
-// String returns the state's name in the status output and the timeline.
+// String returns the state's name in the status output and the time line.
 func (s State) String() string {
 	switch s {
 	case Alive:
--- a/internal/pipeline/record.go
+++ b/internal/pipeline/record.go
@@ -10,7 +10,7 @@
 	"github.com/vanillagrade/vanillagrade/internal/timeline"
 )
 
-// Record records how each submission ended, in the timeline and in counters. It
+// Record records how each submission ended, in the time line and in counters. It
 // is the first stage, so that it sees the answers of all other stages.
 type Record struct {
 	Events timeline.Sink
--- a/internal/register/repair.go
+++ b/internal/register/repair.go
@@ -283,7 +283,7 @@
 	}
 }
 
-// describeChange describes a change of the voters for the timeline.
+// describeChange describes a change of the voters for the time line.
 func describeChange(a voters.Action) string {
 	if a.Old == "" {
 		return "added: " + a.Cause
--- a/internal/register/repair_test.go
+++ b/internal/register/repair_test.go
@@ -109,7 +109,7 @@
 }
 
 // A fleet that has to tolerate two lost disks starts with three voters and adds two. The
-// timeline must show each change of the voters with its cause, so that an operator can
+// time line must show each change of the voters with its cause, so that an operator can
 // find out later why a disk votes.
 func TestChangesOfVotersAreRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/register/state.go
+++ b/internal/register/state.go
@@ -112,7 +112,7 @@
 	return now.Sub(last) > staleAfter, last
 }
 
-// updateStaleness records in the timeline when the entry's configuration becomes
+// updateStaleness records in the time line when the entry's configuration becomes
 // stale and when it stops being stale.
 func (r *Register) updateStaleness() {
 	stale, since := r.staleness(time.Now())
--- a/internal/runs/answers_test.go
+++ b/internal/runs/answers_test.go
@@ -18,7 +18,7 @@
 		w := newWorker()
 		w.delay = time.Hour
 		w.lose = func(request string) bool { return request == "start" }
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		res := s.Start(t.Context(), taskOf("a", 1))
 		qt.Assert(t, res.Status, qt.Equals, job.TaskNotStarted)
 		qt.Assert(t, res.Refusal, qt.Equals, target.Unanswered)
--- a/internal/runs/bound_test.go
+++ b/internal/runs/bound_test.go
@@ -34,7 +34,7 @@
 		w.runTime = time.Hour
 		w.delay = time.Hour
 		w.lose = func(request string) bool { return request == "stop" }
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		go s.Start(t.Context(), taskOf("lost", 1))
 		go s.Start(t.Context(), taskOf("other", 1))
 		time.Sleep(2 * time.Second)
@@ -54,7 +54,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime = time.Hour
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		bound := time.Now().Add(1200 * time.Millisecond)
 		task := taskOf("a", 1)
 		task.Left = func() time.Duration { return time.Until(bound) }
@@ -74,7 +74,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime = time.Hour
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		bound := time.Now().Add(time.Second)
 		task := taskOf("a", 1)
 		task.Left = func() time.Duration { return time.Until(bound) }
@@ -93,7 +93,7 @@
 func TestEveryStartAttemptChecksWanted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		time.Sleep(100 * time.Millisecond)
 		ref := Ref{"a", 0}
 		w.set(func() { w.highest[ref] = 5 })
--- a/internal/runs/drift_test.go
+++ b/internal/runs/drift_test.go
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		stop := slowClock(w)
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		holdFor(t, s, w, 30)
 		w.set(func() { w.runTime = time.Hour })
 		bound := time.Now().Add(300 * time.Millisecond)
@@ -71,7 +71,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		stop := slowClock(w)
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		holdFor(t, s, w, 120)
 		w.set(func() {
 			w.runTime = time.Hour
--- a/internal/runs/events_test.go
+++ b/internal/runs/events_test.go
@@ -32,7 +32,7 @@
 	return slices.Clone(k.kinds)
 }
 
-// A target passes to another holder and later becomes unresponsive with a run on it. The timeline
+// A target passes to another holder and later becomes unresponsive with a run on it. The time line
 // must show which entry was the holder at which time, and that the lease had expired before the
 // task went elsewhere.
 func TestHolderChangesAndLeasesAreRecorded(t *testing.T) {
@@ -40,9 +40,9 @@
 		w := newWorker()
 		w.runTime = time.Hour
 		var former, later eventKinds
-		first := NewSession(Options{Orders: w, Salt: 1, Events: &former})
+		first := NewSession(Options{Client: w, Salt: 1, Events: &former})
 		time.Sleep(time.Second)
-		second := NewSession(Options{Orders: w, Salt: 2, Events: &later})
+		second := NewSession(Options{Client: w, Salt: 2, Events: &later})
 		time.Sleep(time.Second)
 		first.Start(t.Context(), taskOf("a", 1))
 		qt.Assert(t, former.all(), qt.DeepEquals, []timeline.Kind{timeline.TargetTaken, timeline.TargetYielded})
--- a/internal/runs/pauses_test.go
+++ b/internal/runs/pauses_test.go
@@ -78,7 +78,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := &pausedWorker{worker: newWorker(), counts: map[string]int{}}
 			w.worker.runTime = 200 * time.Millisecond
-			s := NewSession(Options{Orders: w})
+			s := NewSession(Options{Client: w})
 			time.Sleep(time.Second)
 			begun := time.Now()
 			var callers sync.WaitGroup
--- a/internal/runs/repeat.go
+++ b/internal/runs/repeat.go
@@ -233,7 +233,7 @@
 	defer cancel()
 	begun := time.Now()
 	s.opts.Calls.Starts.Add(1)
-	reply, err := s.opts.Orders.Start(ctx, o)
+	reply, err := s.opts.Client.Start(ctx, o)
 	s.recordCallOutcome(begun, err)
 	if err == nil {
 		s.recordAnswerTime(time.Since(begun))
@@ -247,7 +247,7 @@
 	defer cancel()
 	begun := time.Now()
 	s.opts.Calls.Polls.Add(1)
-	l, err := s.opts.Orders.Renew(ctx, o)
+	l, err := s.opts.Client.Renew(ctx, o)
 	s.recordCallOutcome(begun, err)
 	if err == nil && l.Refusal == Accepted {
 		// The loop processes the first answer only. A later answer may report an end that would
@@ -267,7 +267,7 @@
 		defer cancel()
 		begun := time.Now()
 		s.opts.Calls.Stops.Add(1)
-		reply, err := s.opts.Orders.Stop(ctx, o)
+		reply, err := s.opts.Client.Stop(ctx, o)
 		s.recordCallOutcome(begun, err)
 		return reply, err
 	})
--- a/internal/runs/repeat_test.go
+++ b/internal/runs/repeat_test.go
@@ -32,7 +32,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime, w.delay = 60*time.Millisecond, 300*time.Millisecond
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		time.Sleep(time.Second)
 		w.set(func() { w.lose = loseFirst("start", 2) })
 		res := s.Start(t.Context(), taskOf("a", 1))
@@ -52,7 +52,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime = 5 * time.Millisecond
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		time.Sleep(time.Second)
 		w.set(func() { w.lose = loseFirst("start", 1) })
 		res := s.Start(t.Context(), taskOf("a", 1))
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime, w.delay = time.Second, 400*time.Millisecond
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		time.Sleep(time.Second)
 		w.set(func() { w.lose, w.full = loseFirst("start", 1), true })
 		res := s.Start(t.Context(), taskOf("a", 1))
@@ -89,7 +89,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime, w.delay = 60*time.Millisecond, time.Hour
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		time.Sleep(time.Second)
 		w.set(func() { w.loseTask = "doubted" })
 		go s.Start(t.Context(), taskOf("doubted", 1))
@@ -117,7 +117,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime, w.delay = 60*time.Millisecond, time.Hour
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		time.Sleep(time.Second)
 		w.set(func() { w.lose = everyOther() })
 		for i := range 40 {
@@ -152,7 +152,7 @@
 				w.runTime = 60 * time.Millisecond
 				w.lose = func(string) bool { return lot.IntN(2) == 0 }
 				w.randomDelay = func() time.Duration { return time.Duration(lot.IntN(12000)) * time.Millisecond }
-				sessions[i] = NewSession(Options{Orders: w, Salt: uint16(i)})
+				sessions[i] = NewSession(Options{Client: w, Salt: uint16(i)})
 			}
 			time.Sleep(time.Second)
 			soon, all := 0, 0
@@ -273,7 +273,7 @@
 func TestOvertakenStartsShowLosses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		lossy := func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
--- a/internal/runs/session.go
+++ b/internal/runs/session.go
@@ -53,7 +53,7 @@
 
 // Options configures a session.
 type Options struct {
-	Orders TargetClient
+	Client TargetClient
 	Target job.TargetID
 	// Salt makes the epochs of two entries differ in their low bits.
 	Salt uint16
@@ -295,7 +295,7 @@
 	s.closing = true
 	if len(s.runs) == 0 {
 		s.stop()
-		s.opts.Orders.Close()
+		s.opts.Client.Close()
 	}
 }
 
@@ -329,7 +329,7 @@
 	r.done <- res
 	if s.closing && len(s.runs) == 0 {
 		s.stop()
-		s.opts.Orders.Close()
+		s.opts.Client.Close()
 	}
 }
 
--- a/internal/runs/session_test.go
+++ b/internal/runs/session_test.go
@@ -242,7 +242,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime = 3 * DefaultLease
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		res := s.Start(t.Context(), taskOf("a", 1))
 		qt.Assert(t, res.Status, qt.Equals, job.TaskDone)
 		qt.Assert(t, res.Ran >= w.runTime, qt.IsTrue)
@@ -258,7 +258,7 @@
 func TestUnwantedStartIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		unwanted := taskOf("a", 1)
 		unwanted.Wanted = func() bool { return false }
 		res := s.Start(t.Context(), unwanted)
@@ -288,7 +288,7 @@
 				w := newWorker()
 				w.runTime, w.delay = 600*time.Millisecond, c.delay
 				w.lose = func(request string) bool { return request == "start" }
-				s := NewSession(Options{Orders: w})
+				s := NewSession(Options{Client: w})
 				res := s.Start(t.Context(), taskOf("a", 1))
 				qt.Assert(t, res.Status, qt.Equals, c.want)
 				time.Sleep(5 * time.Second)
@@ -306,7 +306,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime = time.Hour
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		go func() {
 			time.Sleep(500 * time.Millisecond)
 			w.set(func() { w.unresponsive = true })
@@ -335,12 +335,12 @@
 		w := newWorker()
 		w.runTime = 10 * time.Second
 		yielded := make(chan struct{}, 1)
-		first := NewSession(Options{Orders: w, Salt: 1, Yielded: func() { yielded <- struct{}{} }})
+		first := NewSession(Options{Client: w, Salt: 1, Yielded: func() { yielded <- struct{}{} }})
 		lost := make(chan target.Result, 1)
 		go func() { lost <- first.Start(t.Context(), taskOf("a", 1)) }()
 		time.Sleep(time.Second)
 		w.set(func() { w.runTime = 100 * time.Millisecond })
-		second := NewSession(Options{Orders: w, Salt: 2, Yielded: func() { t.Error("the later holder yields") }})
+		second := NewSession(Options{Client: w, Salt: 2, Yielded: func() { t.Error("the later holder yields") }})
 		qt.Assert(t, second.Start(t.Context(), taskOf("b", 1)).Status, qt.Equals, job.TaskDone)
 		res := <-lost
 		qt.Assert(t, res.Status, qt.Equals, job.TaskErred)
@@ -365,7 +365,7 @@
 			losses--
 			return request == "stop" && losses >= 0
 		}
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		done := make(chan target.Result, 1)
 		go func() { done <- s.Start(t.Context(), taskOf("a", 1)) }()
 		time.Sleep(100 * time.Millisecond)
@@ -386,7 +386,7 @@
 func TestLaterOwnerGetsAHigherRunNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		qt.Assert(t, s.Start(t.Context(), taskOf("a", 3)).Status, qt.Equals, job.TaskDone)
 		qt.Assert(t, s.Start(t.Context(), taskOf("a", 1)).Status, qt.Equals, job.TaskDone)
 		w.set(func() { qt.Check(t, w.starts, qt.Equals, 2) })
@@ -406,7 +406,7 @@
 			return n%10 == 3
 		}
 		w.delay = 3 * time.Second
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		var both sync.WaitGroup
 		for i := range 4 {
 			both.Go(func() {
@@ -435,7 +435,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime = time.Hour
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		task := taskOf("a", 1)
 		task.Expected = 100 * time.Millisecond
 		res := s.Start(t.Context(), task)
--- a/internal/runs/stale_start_test.go
+++ b/internal/runs/stale_start_test.go
@@ -27,7 +27,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime = 10 * time.Second
-		first := NewSession(Options{Orders: w, Salt: 1})
+		first := NewSession(Options{Client: w, Salt: 1})
 		time.Sleep(time.Second)
 		w.set(func() { w.lose = loseFirst("start", 1) })
 		taken := make(chan *Session, 1)
@@ -35,7 +35,7 @@
 			// Stop requests get lost for a while, so that the stray run goes on until its lease
 			// ends.
 			w.set(func() { w.delay, w.lose = time.Hour, func(request string) bool { return request == "stop" } })
-			taken <- NewSession(Options{Orders: w, Salt: 2})
+			taken <- NewSession(Options{Client: w, Salt: 2})
 		})
 		res := first.Start(t.Context(), taskOf("a", 1))
 		over := res.Status == job.TaskNotStarted || res.Over
@@ -54,11 +54,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime = 10 * time.Second
-		first := NewSession(Options{Orders: w, Salt: 1})
+		first := NewSession(Options{Client: w, Salt: 1})
 		time.Sleep(time.Second)
 		go first.Start(context.Background(), taskOf("other", 1)) // keeps the first session polling
 		time.Sleep(time.Second)
-		second := NewSession(Options{Orders: w, Salt: 2, Yielded: func() { t.Error("the later holder yields") }})
+		second := NewSession(Options{Client: w, Salt: 2, Yielded: func() { t.Error("the later holder yields") }})
 		w.set(func() { w.loseTask = "a" })
 		go first.Start(context.Background(), taskOf("a", 1))
 		time.Sleep(70 * time.Millisecond)
@@ -117,7 +117,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := &lateWorker{worker: newWorker(), delayed: Ref{"b", 0}, released: make(chan struct{}), broken: make(chan struct{})}
 		w.runTime = time.Hour
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		time.Sleep(time.Second)
 		s.mu.Lock()
 		for range 20 {
@@ -187,13 +187,13 @@
 // The link to a target suddenly becomes slow, by 150 ms for each answer; no request is lost. Tasks
 // must still be completed, slightly later, and the number of requests must not multiply, since
 // that would slow down a link or a processor that is short of capacity even more.
-func TestSlowAnswersMultiplyNoOrders(t *testing.T) {
+func TestSlowAnswersMultiplyNoStartRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var slow atomic.Int64
 		slow.Store(int64(3 * time.Millisecond))
 		w := &slowWorker{worker: newWorker(), answerDelay: func() time.Duration { return time.Duration(slow.Load()) }, calls: map[string]int{}}
 		w.worker.runTime = 60 * time.Millisecond
-		s := NewSession(Options{Orders: w})
+		s := NewSession(Options{Client: w})
 		time.Sleep(time.Second)
 		for i := range 20 {
 			s.Start(t.Context(), target.Task{Submission: "before", Index: i, Run: 1})
--- a/internal/runs/taken_test.go
+++ b/internal/runs/taken_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorker()
 		w.runTime = time.Hour
-		first := NewSession(Options{Orders: w, Salt: 1})
+		first := NewSession(Options{Client: w, Salt: 1})
 		time.Sleep(time.Second)
 		w.set(func() { w.lose = loseFirst("start", 1) })
 		var alive bool
--- a/internal/runs/wire_test.go
+++ b/internal/runs/wire_test.go
@@ -105,7 +105,7 @@
 			workers := make([]*worker, targetCount)
 			sessions := make([]*Session, targetCount)
 			open := func(i int) *Session {
-				return NewSession(Options{Orders: &wire{w: workers[i], r: rand.New(rand.NewPCG(seed, uint64(intN(1<<30)))), harmPercent: harmPercent}, Salt: uint16(intN(256))})
+				return NewSession(Options{Client: &wire{w: workers[i], r: rand.New(rand.NewPCG(seed, uint64(intN(1<<30)))), harmPercent: harmPercent}, Salt: uint16(intN(256))})
 			}
 			for i := range workers {
 				workers[i] = newWorker()
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -106,7 +106,7 @@
 		t.refused++
 		return nil, http.StatusTooManyRequests
 	}
-	t.ledger.recordStart(key)
+	t.starts.recordStart(key)
 	if _, alreadyRunning := t.running[key]; alreadyRunning {
 		// The tracker has already counted the doubled start. Replacing the map
 		// entry would free the slot of the first start too early.
@@ -205,8 +205,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Counters{
-		Starts:         t.ledger.Starts(),
-		DoubledStarts:  t.ledger.DoubledStarts(),
+		Starts:         t.starts.Starts(),
+		DoubledStarts:  t.starts.DoubledStarts(),
 		Served:         t.served,
 		Refused:        t.refused,
 		Failed:         t.failed,
@@ -219,10 +219,10 @@
 }
 
 // Starts returns the number of task starts.
-func (t *Target) Starts() uint64 { return t.ledger.Starts() }
+func (t *Target) Starts() uint64 { return t.starts.Starts() }
 
 // DoubledStarts returns the number of repeated starts of a task.
-func (t *Target) DoubledStarts() uint64 { return t.ledger.DoubledStarts() }
+func (t *Target) DoubledStarts() uint64 { return t.starts.DoubledStarts() }
 
 // MaxConcurrent returns the maximum number of tasks that ran concurrently.
 func (t *Target) MaxConcurrent() int { return t.Counters().MaxConcurrent }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -68,7 +68,7 @@
 	opts     Options
 	listener net.Listener
 	server   *http.Server
-	ledger   *StartTracker
+	starts   *StartTracker
 
 	mu          sync.Mutex
 	running     map[taskKey]context.CancelFunc
@@ -98,7 +98,7 @@
 	t := &Target{
 		opts:        opts,
 		listener:    l,
-		ledger:      opts.Starts,
+		starts:      opts.Starts,
 		running:     make(map[taskKey]context.CancelFunc),
 		unusedConns: make(map[net.Conn]struct{}),
 	}
