--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -65,62 +65,62 @@
 
 // Learn adds records and returns those that are new: of an unknown entry, or of a later
 // incarnation of a known one. Records of ended incarnations are ignored.
-func (b *Directory) Learn(now time.Time, records ...Record) []Record {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (d *Directory) Learn(now time.Time, records ...Record) []Record {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var learned []Record
 	for _, r := range records {
-		if r.Owner.Entry == b.self.Owner.Entry || r.Owner.Entry == "" || r.Address == "" || r.Ended {
+		if r.Owner.Entry == d.self.Owner.Entry || r.Owner.Entry == "" || r.Address == "" || r.Ended {
 			continue
 		}
-		known, ok := b.records[r.Owner.Entry]
+		known, ok := d.records[r.Owner.Entry]
 		if ok && known.Owner.Incarnation >= r.Owner.Incarnation {
 			continue
 		}
-		if t, forgotten := b.tombstones[r.Owner.Entry]; forgotten && !r.Heard && r.Owner.Incarnation <= t.incarnation && now.Before(t.expires) {
+		if t, forgotten := d.tombstones[r.Owner.Entry]; forgotten && !r.Heard && r.Owner.Incarnation <= t.incarnation && now.Before(t.expires) {
 			continue
 		}
 		learned = append(learned, r)
 		r.Heard, r.Revision = false, 0
-		b.records[r.Owner.Entry] = r
+		d.records[r.Owner.Entry] = r
 	}
 	return learned
 }
 
 // Forget deletes an entry that has left the fleet permanently.
-func (b *Directory) Forget(now time.Time, id job.EntryID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r, ok := b.records[id]
+func (d *Directory) Forget(now time.Time, id job.EntryID) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	r, ok := d.records[id]
 	if !ok {
 		return
 	}
-	delete(b.records, id)
-	b.tombstones[id] = tombstone{r.Owner.Incarnation, now.Add(tombstoneTTL)}
-	for other, t := range b.tombstones {
+	delete(d.records, id)
+	d.tombstones[id] = tombstone{r.Owner.Incarnation, now.Add(tombstoneTTL)}
+	for other, t := range d.tombstones {
 		if !now.Before(t.expires) {
-			delete(b.tombstones, other)
+			delete(d.tombstones, other)
 		}
 	}
 }
 
 // Get returns the record of an entry, which may be this one.
-func (b *Directory) Get(id job.EntryID) (Record, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if id == b.self.Owner.Entry {
-		return b.self, true
+func (d *Directory) Get(id job.EntryID) (Record, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if id == d.self.Owner.Entry {
+		return d.self, true
 	}
-	r, ok := b.records[id]
+	r, ok := d.records[id]
 	return r, ok
 }
 
 // All returns all records, including this entry's, sorted by name.
-func (b *Directory) All() []Record {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := []Record{b.self}
-	for _, r := range b.records {
+func (d *Directory) All() []Record {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	out := []Record{d.self}
+	for _, r := range d.records {
 		out = append(out, r)
 	}
 	slices.SortFunc(out, func(x, y Record) int { return cmp.Compare(x.Owner.Entry, y.Owner.Entry) })
@@ -128,8 +128,8 @@
 }
 
 // ByAddress returns the record of the entry that accepts links at an address.
-func (b *Directory) ByAddress(address string) (Record, bool) {
-	for _, r := range b.All() {
+func (d *Directory) ByAddress(address string) (Record, bool) {
+	for _, r := range d.All() {
 		if r.Address == address {
 			return r, true
 		}
--- a/internal/entry/rights.go
+++ b/internal/entry/rights.go
@@ -63,7 +63,7 @@
 // Valid implements job.Right.
 func (r right) Valid() bool {
 	now := r.clock.Now()
-	return r.lease.Holds(now) && (r.deadline.IsZero() || now.Before(r.deadline))
+	return r.lease.Valid(now) && (r.deadline.IsZero() || now.Before(r.deadline))
 }
 
 // Remaining implements job.Right.
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -101,7 +101,7 @@
 
 // report is the answer of peer.BatchOffer.
 type report struct {
-	Verdict  offerResult       `cbor:"1,keyasint"`
+	Result   offerResult       `cbor:"1,keyasint"`
 	Outcomes []job.TaskOutcome `cbor:"2,keyasint,omitempty"`
 	// Reading is a timestamp of the holder's clock, which the owner sends back as proof.
 	Reading vmclock.Timestamp `cbor:"3,keyasint,omitempty"`
--- a/internal/handover/lost_test.go
+++ b/internal/handover/lost_test.go
@@ -41,7 +41,7 @@
 		return peer.ErrNoAnswer
 	}
 	o := req.(offer)
-	raw, err := cbor.Marshal(report{Verdict: resultReported, Outcomes: uniformOutcomes(&o.Batch, job.TaskDone, "", "")})
+	raw, err := cbor.Marshal(report{Result: resultReported, Outcomes: uniformOutcomes(&o.Batch, job.TaskDone, "", "")})
 	if err != nil {
 		return err
 	}
--- a/internal/handover/remote.go
+++ b/internal/handover/remote.go
@@ -230,20 +230,20 @@
 		if err == nil && answer.Load != nil {
 			r.onLoad(to, *answer.Load)
 		}
-		if err == nil && answer.Verdict == resultStaleProof {
+		if err == nil && answer.Result == resultStaleProof {
 			r.ack(to, o.Acked...)
 			if staleAnswers++; staleAnswers < maxStaleAnswers {
 				continue
 			}
 			return uniformOutcomes(&b, job.TaskNotStarted, job.HolderLost, "the holder has no recent proof that this owner is alive")
 		}
-		if err == nil && b.Transient && answer.Verdict == resultWrongIncarnation {
+		if err == nil && b.Transient && answer.Result == resultWrongIncarnation {
 			// The holder's earlier incarnation ended before this answer, and the
 			// leases that it granted expire within the same bound.
 			r.wait(ctx, holderLostAfter)
 			return r.reportLost(to, &b, start, "it runs a later incarnation")
 		}
-		if err == nil && answer.Verdict != resultSuperseded {
+		if err == nil && answer.Result != resultSuperseded {
 			r.ack(to, o.Number)
 			return outcomesFrom(&b, answer)
 		}
@@ -405,7 +405,7 @@
 
 // outcomesFrom converts the holder's answer into the outcomes of all tasks that it covers.
 func outcomesFrom(b *job.Batch, answer report) []job.TaskOutcome {
-	switch answer.Verdict {
+	switch answer.Result {
 	case resultReported:
 		return answer.Outcomes
 	case resultWrongIncarnation:
--- a/internal/handover/serve.go
+++ b/internal/handover/serve.go
@@ -138,7 +138,7 @@
 	}
 	o.unpack()
 	if o.To != s.self.Incarnation {
-		return report{Verdict: resultWrongIncarnation}, nil
+		return report{Result: resultWrongIncarnation}, nil
 	}
 	s.onOffer(from)
 	o.Batch.Owner = from
@@ -179,13 +179,13 @@
 		return rec, report{}, false
 	}
 	if o.Number <= s.forgotten[from] {
-		return nil, report{Verdict: resultForgotten}, false
+		return nil, report{Result: resultForgotten}, false
 	}
 	if s.cancelled[k] {
-		return nil, report{Verdict: resultReported, Outcomes: uniformOutcomes(&o.Batch, job.TaskNotStarted, job.CancelledByCall, "")}, false
+		return nil, report{Result: resultReported, Outcomes: uniformOutcomes(&o.Batch, job.TaskNotStarted, job.CancelledByCall, "")}, false
 	}
 	if !s.acquireRight(from, o) {
-		return nil, report{Verdict: resultStaleProof, Reading: s.rights.Reading()}, false
+		return nil, report{Result: resultStaleProof, Reading: s.rights.Reading()}, false
 	}
 	rec = &record{
 		key: k, owner: from, submission: o.Batch.Submission, tasks: len(o.Batch.Tasks), pool: o.Batch.Pool,
@@ -235,7 +235,7 @@
 		}
 		return answer, nil
 	case <-newerCall:
-		return report{Verdict: resultSuperseded}, nil
+		return report{Result: resultSuperseded}, nil
 	case <-ctx.Done():
 		return nil, errors.Annotate(ctx.Err(), "the link to the owner broke")
 	}
@@ -245,9 +245,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if rec.outcomes == nil && rec.tasks > 0 {
-		return report{Verdict: resultForgotten}
+		return report{Result: resultForgotten}
 	}
-	return report{Verdict: resultReported, Outcomes: rec.outcomes, Reading: s.reading()}
+	return report{Result: resultReported, Outcomes: rec.outcomes, Reading: s.reading()}
 }
 
 // report accepts the holder's outcomes. It records the event before the outcomes become
--- a/internal/policy/ownership/model_world_test.go
+++ b/internal/policy/ownership/model_world_test.go
@@ -322,7 +322,7 @@
 // inEffect reports whether a lease is in effect, and marks it expired if it is not.
 func (system) inEffect(l *lease) bool {
 	x := l.real()
-	ok := x.Holds(now)
+	ok := x.Valid(now)
 	l.expired = x.expired
 	return ok
 }
--- a/internal/policy/ownership/ownership.go
+++ b/internal/policy/ownership/ownership.go
@@ -61,16 +61,16 @@
 // Resumed reports whether an earlier lease of the same owner had expired.
 func (l *Lease) Resumed() bool { return l.resumed }
 
-// Holds reports whether the lease is in effect now. The caller must act on the result
+// Valid reports whether the lease is in effect now. The caller must act on the result
 // immediately and check before each start: after a pause the order of events is
 // undefined, and a timer that fires late proves nothing.
-func (l *Lease) Holds(now time.Time) bool {
+func (l *Lease) Valid(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holdsLocked(now)
 }
 
-// holdsLocked is Holds for callers that hold the lock.
+// holdsLocked is Valid for callers that hold the lock.
 func (l *Lease) holdsLocked(now time.Time) bool {
 	if !l.expired && now.Sub(l.proof) > Term {
 		l.expired = true
@@ -130,7 +130,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := t.leases[owner]
-	if l != nil && !l.Holds(now) {
+	if l != nil && !l.Valid(now) {
 		t.forget(owner)
 		l = nil
 	}
@@ -164,7 +164,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := t.leases[owner]
-	if l == nil || !l.Holds(now) {
+	if l == nil || !l.Valid(now) {
 		return nil
 	}
 	return l
@@ -176,7 +176,7 @@
 	defer t.mu.Unlock()
 	var out map[job.Owner]time.Duration
 	for owner, l := range t.leases {
-		if l.Holds(now) {
+		if l.Valid(now) {
 			continue
 		}
 		if out == nil {
--- a/internal/policy/ownership/ownership_test.go
+++ b/internal/policy/ownership/ownership_test.go
@@ -25,7 +25,7 @@
 		if ms%250 == 0 {
 			qt.Assert(t, table.Renew(at(ms), owner, at(ms-500)) == first, qt.IsTrue)
 		}
-		qt.Assert(t, first.Holds(at(ms)), qt.IsTrue, qt.Commentf("%d ms", ms))
+		qt.Assert(t, first.Valid(at(ms)), qt.IsTrue, qt.Commentf("%d ms", ms))
 	}
 	qt.Assert(t, first.Resumed(), qt.IsFalse)
 }
@@ -46,16 +46,16 @@
 			for _, ms := range proofs {
 				table.Renew(at(3000), owner, at(ms))
 			}
-			qt.Assert(t, before.Holds(at(3000)), qt.IsFalse)
+			qt.Assert(t, before.Valid(at(3000)), qt.IsFalse)
 			select {
 			case <-before.Lost():
 			default:
 				t.Fatal("Lost is not closed although the lease expired")
 			}
 			after := table.Renew(at(3010), owner, at(3000))
-			qt.Assert(t, after.Holds(at(3010)), qt.IsTrue)
+			qt.Assert(t, after.Valid(at(3010)), qt.IsTrue)
 			qt.Assert(t, after.Resumed(), qt.IsTrue)
-			qt.Assert(t, before.Holds(at(3010)), qt.IsFalse)
+			qt.Assert(t, before.Valid(at(3010)), qt.IsFalse)
 		})
 	}
 }
@@ -86,7 +86,7 @@
 	later.Incarnation++
 	table.Renew(at(900), later, at(900))
 	table.Renew(at(1800), later, at(1800))
-	qt.Assert(t, first.Holds(at(1800)), qt.IsFalse)
+	qt.Assert(t, first.Valid(at(1800)), qt.IsFalse)
 	qt.Assert(t, table.Lookup(at(1800), later), qt.IsNotNil)
 }
 
--- a/internal/registrar/claim.go
+++ b/internal/registrar/claim.go
@@ -196,7 +196,7 @@
 
 // yielded records the asked entry's reply to a yield request about a claimant.
 func (c *claim) yielded(by Claimant, asked job.Owner, r *yieldReply) {
-	switch r.Verdict {
+	switch r.Result {
 	case yieldRefused:
 		c.confirmed[by] = asked
 	case yieldRedirected:
--- a/internal/registrar/explore_test.go
+++ b/internal/registrar/explore_test.go
@@ -248,7 +248,7 @@
 	case m.reply != nil:
 		kind = fmt.Sprint("reply ", m.reply.Certainty, recordNames(m.reply.Held))
 	case m.yielded != nil:
-		kind = fmt.Sprint("yielded ", m.yielded.Verdict, m.yielded.To.Entry, claimantName(m.yield))
+		kind = fmt.Sprint("yielded ", m.yielded.Result, m.yielded.To.Entry, claimantName(m.yield))
 	case m.yield != nil:
 		kind = "yield " + claimantName(m.yield)
 	}
--- a/internal/registrar/messages.go
+++ b/internal/registrar/messages.go
@@ -96,8 +96,8 @@
 )
 
 type yieldReply struct {
-	Verdict yieldResult `cbor:"1,keyasint"`
-	To      job.Owner   `cbor:"2,keyasint,omitempty"`
+	Result yieldResult `cbor:"1,keyasint"`
+	To     job.Owner   `cbor:"2,keyasint,omitempty"`
 }
 
 // syncRequest asks for the records that For keeps when the zone's live entries
--- a/internal/registrar/owned.go
+++ b/internal/registrar/owned.go
@@ -98,7 +98,7 @@
 // would receive the answer of a job that they did not send.
 func (o *ownerTable) answerYield(by job.Owner, req *yieldRequest) yieldReply {
 	if sub := o.submissions[req.ID]; sub != nil && sub.digest != req.Digest {
-		return yieldReply{Verdict: yieldRefused}
+		return yieldReply{Result: yieldRefused}
 	}
 	return o.yield(by, req.ID)
 }
@@ -109,16 +109,16 @@
 	sub := o.submissions[id]
 	switch {
 	case sub == nil:
-		return yieldReply{Verdict: yieldUnknown}
+		return yieldReply{Result: yieldUnknown}
 	case sub.state != ownerPending:
-		return yieldReply{Verdict: yieldRefused}
+		return yieldReply{Result: yieldRefused}
 	case !sub.yielded.IsZero() && sub.yielded != by:
-		return yieldReply{Verdict: yieldRedirected, To: sub.yielded}
+		return yieldReply{Result: yieldRedirected, To: sub.yielded}
 	case precedes(by, o.self):
 		sub.yielded = by
-		return yieldReply{Verdict: yieldGranted}
+		return yieldReply{Result: yieldGranted}
 	}
-	return yieldReply{Verdict: yieldRefused}
+	return yieldReply{Result: yieldRefused}
 }
 
 // precedes orders competing claims of one id: a wins over b. The order need not
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -351,8 +351,8 @@
 	o := newOwnerTable(job.Owner{Entry: "b", Incarnation: 1, Zone: "z"})
 	o.begin("id", job.Digest{1})
 	smaller := job.Owner{Entry: "a", Incarnation: 1, Zone: "z"}
-	qt.Assert(t, o.answerYield(smaller, &yieldRequest{ID: "id", Digest: job.Digest{2}}).Verdict, qt.Equals, yieldRefused)
-	qt.Assert(t, o.answerYield(smaller, &yieldRequest{ID: "id", Digest: job.Digest{1}}).Verdict, qt.Equals, yieldGranted)
+	qt.Assert(t, o.answerYield(smaller, &yieldRequest{ID: "id", Digest: job.Digest{2}}).Result, qt.Equals, yieldRefused)
+	qt.Assert(t, o.answerYield(smaller, &yieldRequest{ID: "id", Digest: job.Digest{1}}).Result, qt.Equals, yieldGranted)
 }
 
 // An entry has a planned stop right after a job ended, before the job's end was sent
--- a/internal/registrar/table_test.go
+++ b/internal/registrar/table_test.go
@@ -58,12 +58,12 @@
 	e, isNew := o.begin("x", job.Digest{})
 	qt.Assert(t, isNew, qt.IsTrue)
 	first, second, larger := claimant("a", 1).Owner, claimant("b", 1).Owner, claimant("z", 1).Owner
-	qt.Assert(t, o.yield(larger, "x").Verdict, qt.Equals, yieldRefused)
-	qt.Assert(t, o.yield(second, "x").Verdict, qt.Equals, yieldGranted)
-	qt.Assert(t, o.yield(second, "x").Verdict, qt.Equals, yieldGranted)
-	qt.Assert(t, o.yield(first, "x"), qt.Equals, yieldReply{Verdict: yieldRedirected, To: second})
+	qt.Assert(t, o.yield(larger, "x").Result, qt.Equals, yieldRefused)
+	qt.Assert(t, o.yield(second, "x").Result, qt.Equals, yieldGranted)
+	qt.Assert(t, o.yield(second, "x").Result, qt.Equals, yieldGranted)
+	qt.Assert(t, o.yield(first, "x"), qt.Equals, yieldReply{Result: yieldRedirected, To: second})
 	o.drop(e)
-	qt.Assert(t, o.yield(first, "x").Verdict, qt.Equals, yieldUnknown)
+	qt.Assert(t, o.yield(first, "x").Result, qt.Equals, yieldUnknown)
 }
 
 // Records and answers must stay within their memory limits after any number of
--- a/internal/scheduler/next.go
+++ b/internal/scheduler/next.go
@@ -226,7 +226,7 @@
 	var best *target
 	for i := range p.ranked.Len() {
 		tg := p.ranked.At(i)
-		if tg.tier < slow && t.size.Fits(tg.Room()) && !slices.Contains(t.avoid, tg) && (best == nil || tg.running < best.running) {
+		if tg.tier < slow && t.size.Fits(tg.Capacity()) && !slices.Contains(t.avoid, tg) && (best == nil || tg.running < best.running) {
 			best = tg
 		}
 	}
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -67,7 +67,7 @@
 func (p *Pool) refusedByAll(t *task) bool {
 	for i := range p.ranked.Len() {
 		tg := p.ranked.At(i)
-		if t.size.Fits(tg.Room()) && !slices.Contains(t.avoid, tg) {
+		if t.size.Fits(tg.Capacity()) && !slices.Contains(t.avoid, tg) {
 			return false
 		}
 	}
--- a/internal/scheduler/size.go
+++ b/internal/scheduler/size.go
@@ -46,7 +46,7 @@
 // boundBySize reports whether task sizes rather than slots limit the number of tasks
 // on the target.
 func (m *sizeMean) boundBySize(t *target) bool {
-	return m.seen > 0 && m.fitCount(t.Room(), t.limit()) < t.limit()
+	return m.seen > 0 && m.fitCount(t.Capacity(), t.limit()) < t.limit()
 }
 
 // capacityOf returns how many tasks of the mean size can run on the target at once. It
@@ -56,12 +56,12 @@
 	if limit == 0 {
 		return 0
 	}
-	return max(1, p.meanSize.fitCount(t.Room(), limit))
+	return max(1, p.meanSize.fitCount(t.Capacity(), limit))
 }
 
 // freeCapacityOf returns how many more tasks of the mean size fit on the target now.
 func (p *Pool) freeCapacityOf(t *target) int {
-	return p.meanSize.fitCount(t.Room().Minus(t.used), max(0, t.limit()-t.running))
+	return p.meanSize.fitCount(t.Capacity().Minus(t.used), max(0, t.limit()-t.running))
 }
 
 // recomputeEvery is the number of offered tasks after which the capacity sums are
@@ -128,7 +128,7 @@
 	if tg.tier > ready {
 		cost++
 	}
-	freeMillis := float64(tg.Room().Minus(tg.used).TotalMilliProcessors() - t.size.TotalMilliProcessors())
+	freeMillis := float64(tg.Capacity().Minus(tg.used).TotalMilliProcessors() - t.size.TotalMilliProcessors())
 	if p.meanSize.millis > 0 {
 		gap := math.Mod(freeMillis, p.meanSize.millis) / p.meanSize.millis
 		cost += gapCost * load * gap
--- a/internal/scheduler/target.go
+++ b/internal/scheduler/target.go
@@ -60,8 +60,8 @@
 
 func (t *target) full() bool { return t.exclusive || t.running >= t.limit() }
 
-// Room returns the current size of the target.
-func (t *target) Room() job.Size {
+// Capacity returns the current size of the target.
+func (t *target) Capacity() job.Size {
 	if t.reducedSize != nil {
 		return *t.reducedSize
 	}
@@ -73,7 +73,7 @@
 	if t.removed || t.full() {
 		return false
 	}
-	return t.used.Plus(s).Fits(t.Room())
+	return t.used.Plus(s).Fits(t.Capacity())
 }
 
 // rankLess orders targets for placement: those with a free slot first, then by
